--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -1,6 +1,7 @@
-//! The module's actor: turns messages into the module's events and carries out its actions. It owns the open
-//! requests, the attempts and the timers, and does what the simulator does by itself: it times attempts out,
-//! hands the first good answer on, and keeps events in order. It knows no wire format.
+//! The actor that runs the decision module: it turns messages into events of the module and carries out the
+//! module's actions. It owns the open requests, the attempts in flight and the timers. It also does what the
+//! simulator does on its own side: it times attempts out, forwards the first good answer to the client, and
+//! keeps events in order. It is independent of the wire formats.
 
 mod answers;
 mod attempts;
@@ -33,50 +34,60 @@
 use crate::upstream::{Order, Peer};
 use crate::withheld::Withheld;
 
-/// Messages that may wait for the director.
+/// Capacity of the director's mailbox, in messages.
 pub const MAILBOX: usize = 256;
-/// Messages taken in before the timers are looked at again.
+/// Maximum number of messages handled in a row before the timers are checked again.
 const BATCH: usize = 64;
-/// The module's last word comes with the time-outs at the deadline; so much later one is given without it.
+/// Delay after a request's deadline at which the director itself fails a request that the module has left
+/// open, in microseconds. Normally the module gives the final answer when the attempts time out at the
+/// deadline.
 const LAST_WORD: Micros = 5_000;
 
+/// A request that has no final answer yet, or still has attempts in flight.
 struct Open {
     call: Rc<Call>,
     came: Micros,
     port: Rc<dyn Port>,
     seq: i32,
     account: Account,
-    /// Tickets of its attempts that are out.
+    /// Tickets of its attempts in flight.
     out: Vec<u64>,
-    /// The router's own copy that the module was offered for it.
+    /// The router's own copy that was offered to the module for this request.
     own: Option<Rc<Copy>>,
     closed: bool,
 }
 
+/// An attempt in flight.
 struct Out {
     id: RequestId,
     number: u32,
     member: MemberId,
-    /// The actor that has it: another may have the member's id by the time it is given up.
+    /// Mailbox of the peer actor that holds the attempt. By the time the attempt is given up, another actor
+    /// may serve the member's id.
     peer: Sender<Order>,
     sent: Micros,
     attempt: Rc<Attempt>,
 }
 
+/// What a timer is for.
 #[derive(Clone, Copy)]
 enum Due {
+    /// A timer that the module set, with its token.
     Module(u64),
+    /// The timeout of the attempt with this ticket.
     Attempt(u64),
+    /// The fallback that fails a request left open after its deadline.
     Request(RequestId),
 }
 
-/// What is refused by agreement may be allowed again: advice in milliseconds.
+/// Retry delay advised with a refusal that the module did not decide, in milliseconds: what the agreed rules
+/// refuse now may be allowed again later.
 const DENIED: u64 = 1000;
 
-/// How many requests are owed an answer.
+/// Number of requests that have no final answer yet.
 pub type Owed = Cell<usize>;
 
-/// The module's actor.
+/// The actor that runs the decision module.
 pub struct Director {
     module: bitternhold::Director,
     settings: Settings,
@@ -84,33 +95,33 @@
     owed: Rc<Owed>,
     peers: HashMap<MemberId, Sender<Order>>,
     requests: HashMap<RequestId, Open>,
-    /// The open request under a connection's number.
+    /// Open requests by client connection and sequence number.
     by_client: BTreeMap<(u64, i32), RequestId>,
     attempts: HashMap<u64, Out>,
     due: BTreeMap<(Micros, u64), Due>,
-    /// Events that came of carrying out actions.
+    /// Events for the module that arose while its actions were carried out.
     backlog: VecDeque<Event>,
     actions: Vec<Action>,
-    /// Copies of the router's own.
+    /// The router's own copies.
     copies: Copies,
-    /// How wrong the own clock is, as far as copies tell.
+    /// Error of this machine's wall clock, estimated from the time stamps of copies.
     skew: Skew,
-    /// What others can learn from this router, and it from them; none: off.
+    /// What this router shares with other routers and has learnt from them; `None` if that is turned off.
     knowledge: Option<Knowledge>,
-    /// What the routers have agreed not to use.
+    /// Members that the routers have agreed not to use, and agreed weights.
     withheld: Withheld,
-    /// When the module was last told that the feed's lease has run out, by the steady clock.
+    /// When the module was last told that the feed's lease has run out, on the steady clock.
     told_stale: Option<Micros>,
     counters: Rc<Counters>,
     start_peer: StartPeer,
     next: u64,
 }
 
-/// Starts the actor of a member at this address; its mailbox.
+/// Starts the actor of the member at this address and returns its mailbox.
 type StartPeer = Box<dyn Fn(MemberId, SocketAddr) -> Sender<Order>>;
 
 impl Director {
-    /// A director for a module with this seed.
+    /// Creates a director whose module uses this random seed.
     pub fn new(seed: u64, shared: Rc<Shared>, owed: Rc<Owed>, copies: Copies) -> Self {
         let settings = shared.catalogue.settings.clone();
         let all = shared.clone();
@@ -137,18 +148,18 @@
         }
     }
 
-    /// With knowledge of others, or to be told to others.
+    /// Sets the store of knowledge that is exchanged with other routers.
     pub fn with_knowledge(mut self, knowledge: Option<Knowledge>) -> Self {
         self.knowledge = knowledge;
         self
     }
 
-    /// Answers and retries are counted there.
+    /// Counts answers, refusals, retries and lost own copies in these counters.
     pub fn count_in(&mut self, counters: Rc<Counters>) {
         self.counters = counters;
     }
 
-    /// Starts members' actors in this way; usually [`Peer::start`].
+    /// Replaces the function that starts members' actors. The default is [`Peer::start`].
     pub fn start_peers_by(&mut self, start: impl Fn(MemberId, SocketAddr) -> Sender<Order> + 'static) {
         self.start_peer = Box::new(start);
     }
@@ -157,25 +168,27 @@
         self.shared.board.clock().now()
     }
 
-    /// Takes in what another told: purges and drains at once, the rest as the module's priors.
+    /// Merges items received from another router. Purges and drains take effect at once; the rest becomes
+    /// priors of the module.
     pub fn learn(&mut self, transit: Micros, items: Vec<Item>) {
         let Some(learnt) = self.knowledge.as_mut().map(|k| k.take(transit, items)) else { return };
         if learnt.refused > 0 {
-            tracing::warn!("{} items of others out of their ranges, left out", learnt.refused);
+            tracing::warn!("{} items from another router are out of range and were dropped", learnt.refused);
         }
         learnt.purges.into_iter().for_each(|(what, at)| self.purged(what, at));
         self.review();
         self.event(Event::Inherited(learnt.inherited));
     }
 
-    /// Acts by others' word on members where it outranks the own list, and by the own list again where it does
-    /// no more.
+    /// Applies what other routers report of members where that outranks the own list, and the own list again
+    /// where it no longer does.
     fn review(&mut self) {
         let mut changed = self.knowledge.as_mut().map_or_else(Vec::new, Knowledge::review);
         self.withheld.told(false, &mut changed);
         self.act_by(changed);
     }
 
+    /// Applies changed list entries: to the peer actors and to the module.
     fn act_by(&mut self, changed: Vec<Listed>) {
         if changed.is_empty() {
             return;
@@ -189,8 +202,8 @@
         self.event(Event::Members { kind: ListKind::Delta, members });
     }
 
-    /// Runs until both mailboxes are closed. News go ahead of everything else that waits: a purge or a drain
-    /// must not queue behind requests that would be sent without it.
+    /// Runs until both mailboxes are closed. Feed updates are handled before everything else that is pending:
+    /// a purge or a drain must not queue behind requests that would otherwise be sent without regard to it.
     pub async fn run(mut self, news: Receiver<Notice>, mailbox: Receiver<Message>) {
         loop {
             let due = self.next_timer();
@@ -224,7 +237,8 @@
         }
     }
 
-    /// Takes news in. A whole list is of this kind: read back at the start, or told.
+    /// Handles an event of the coordinator. `whole` is the kind under which a complete list is passed to the
+    /// module: read back from disk at the start, or received.
     pub fn news(&mut self, news: News, whole: ListKind) {
         match news {
             News::Nothing => {
@@ -255,6 +269,7 @@
         }
     }
 
+    /// Applies a purge to the own copies and the attempts not yet written, and passes it to the module.
     fn purged(&mut self, what: Purged, at: Stamp) {
         let now = self.now();
         let keep = self.settings.purge_done + self.settings.purge_grace;
@@ -268,6 +283,7 @@
         self.event(Event::Purged { object, group, age: self.skew.purge_age(now, at) });
     }
 
+    /// Retires the actor of a member that is gone.
     fn gone(&mut self, id: MemberId) {
         self.shared.board.set_ready(id, false);
         if let Some(peer) = self.peers.remove(&id) {
@@ -275,6 +291,7 @@
         }
     }
 
+    /// Applies a list entry: starts, updates or retires the member's actor.
     fn listed(&mut self, m: &Listed) {
         let id = m.member.id;
         if m.member.lifecycle == Lifecycle::Gone {
@@ -290,7 +307,7 @@
         }
     }
 
-    /// Hands an order on that must not be lost, however full the mailbox is.
+    /// Sends an order that must not be lost, even if the mailbox is full.
     fn post(&self, peer: &Sender<Order>, order: Order) {
         if let Err(async_channel::TrySendError::Full(order)) = peer.try_send(order) {
             let peer = peer.clone();
@@ -298,7 +315,7 @@
         }
     }
 
-    /// Takes a message in.
+    /// Handles a message.
     pub fn message(&mut self, message: Message) {
         match message {
             Message::Request { port, seq, call } => self.request(port, seq, call),
@@ -340,9 +357,14 @@
     }
 
     fn request(&mut self, port: Rc<dyn Port>, seq: i32, call: Call) {
-        // A number that is open already can't be answered twice: the later one fails.
+        // Two open requests with one sequence number could not be told apart in the answers: the later one
+        // fails.
         if self.by_client.contains_key(&(port.id(), seq)) {
-            tracing::warn!(client = port.id(), rid = call.rid, "number {seq} is open already");
+            tracing::warn!(
+                client = port.id(),
+                rid = call.rid,
+                "sequence number {seq} is already in use by an open request"
+            );
             return port.answer(seq, Verdict::Failed);
         }
         if self.shared.board.refuses(call.class, call.group) {
@@ -380,22 +402,23 @@
         }));
     }
 
-    /// Requests that are open on a client's connection.
+    /// The open requests of a client's connection.
     fn open_on(&self, port: u64) -> Vec<RequestId> {
         self.by_client.range((port, i32::MIN)..=(port, i32::MAX)).map(|(_, id)| *id).collect()
     }
 
+    /// Sets a timer.
     fn wake(&mut self, at: Micros, due: Due) {
         self.next += 1;
         self.due.insert((at, self.next), due);
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     pub fn next_timer(&self) -> Option<Micros> {
         self.due.keys().next().map(|(at, _)| *at)
     }
 
-    /// Does what is due by now.
+    /// Runs the timers that are due.
     pub fn timers(&mut self) {
         let now = self.now();
         while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= now) {
@@ -413,7 +436,8 @@
         }
     }
 
-    /// Tells the module an event and does what it says; what comes of that is told in turn.
+    /// Passes an event to the module and carries out its actions. Events that arise from the actions are
+    /// passed to the module in turn.
     fn event(&mut self, event: Event) {
         self.tell_stale();
         self.backlog.push_back(event);
@@ -425,6 +449,7 @@
         }
     }
 
+    /// Carries out an action of the module.
     fn act(&mut self, action: Action) {
         match action {
             Action::Look { id, member, until } => {
@@ -444,7 +469,8 @@
             }
             Action::Refuse { id, wait } => self.refuse(id, wait),
             Action::Own { id } => {
-                // Whether it is still there says nothing of what may have run: without it the module decides anew.
+                // That the copy is lost does not prove that no attempt has run, so the request is not refused
+                // here: the module decides again without the copy.
                 let served = self.serve_own_copy(id);
                 self.backlog.push_back(Event::OwnCopy { id, served });
             }
@@ -457,18 +483,19 @@
                     self.backlog.push_back(Event::Probed { member, status, elapsed, load });
                 }
             }
-            // The feed is always followed.
+            // Nothing to do: the feed is followed all the time.
             Action::Watch | Action::FetchList => {}
             Action::Log(words) => tracing::info!("module: {words}"),
         }
     }
 }
 
-/// A member's id as the coordinator and the caches spell it.
+/// Formats a member's id as the coordinator and the caches write it.
 fn spelt(id: MemberId) -> String {
     format!("s-{:08x}", id.0)
 }
 
+/// What the run loop handles next.
 enum Next {
     Notice(Notice),
     Message(Box<Message>),
--- a/silverspindle/src/director/answers.rs
+++ b/silverspindle/src/director/answers.rs
@@ -1,4 +1,5 @@
-//! Final answers: each request gets one, and a refusal only on the proof of its account.
+//! Final answers. Each request gets exactly one; a refusal requires the proof that a retry does no harm,
+//! which comes from the history of the request's attempts.
 
 use bitternhold::{Event, Micros, RequestId};
 
@@ -7,7 +8,7 @@
 use crate::traffic::{Call, Refusal, Verdict};
 
 impl Director {
-    /// Marks a request finished; false if it was already.
+    /// Marks a request as finished. Returns false if it already was.
     pub(super) fn close(&mut self, id: RequestId) -> bool {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.closed) else { return false };
         open.closed = true;
@@ -21,12 +22,13 @@
         true
     }
 
+    /// Gives a request its final answer, unless it already has one.
     pub(super) fn answer(&mut self, id: RequestId, verdict: Verdict) {
         let Some(open) = self.requests.get(&id) else { return };
         let (port, seq) = (open.port.clone(), open.seq);
         let Call { rid, class, .. } = &*open.call;
         let spare = open.call.deadline.saturating_sub(self.now());
-        // Where rules are on, which versions of them it was answered on.
+        // The versions of the agreed rules that are in force, if rules are on.
         let rules = tracing::enabled!(tracing::Level::TRACE).then(|| self.shared.board.version()).flatten();
         let attempts = open.account.attempts();
         tracing::trace!(rid, class, attempts, spare, rules, "answer {}", verdict.name());
@@ -43,7 +45,8 @@
         }
     }
 
-    /// Gives a request its final answer before its time: refused where its account proves that this does no harm, else failed.
+    /// Ends a request early because its connection has to end: refused if its attempts prove that a retry
+    /// does no harm, failed otherwise.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { return };
         let verdict = match open.account.safe_to_retry() {
@@ -56,7 +59,8 @@
         self.event(Event::ClientGone { id });
     }
 
-    /// Refuses a request as the module says, if its account proves that this does no harm; else it has failed.
+    /// Refuses a request as the module decided, if its attempts prove that a retry does no harm; otherwise
+    /// the request fails.
     pub(super) fn refuse(&mut self, id: RequestId, wait: Micros) {
         let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { return };
         let Some(proof) = open.account.safe_to_retry() else {
@@ -69,18 +73,20 @@
             return self.answer(id, Verdict::Failed);
         };
         self.counters.refused(RefusalReason::Exhausted);
-        // Rounded up: the client is to stay away for so long at least.
+        // Rounded up to whole milliseconds: the client should wait at least this long.
         let backoff = (wait > 0).then(|| wait.div_ceil(1000));
         self.answer(id, Verdict::Refused(Refusal::advised(proof, backoff)));
     }
 
-    /// The time in which an answer to this is worth all: the class's, and as many times as it says of the sending's.
+    /// Time within which an answer to this request earns its full worth: the aim of the class plus the
+    /// class's multiple of the request's sending time.
     pub(super) fn aim(&self, call: &Call) -> Micros {
         let Some(class) = self.settings.classes.get(call.class) else { return 0 };
         let sending = call.size_kb.unwrap_or(0.0) / self.settings.flow_kb_per_s.max(1.0);
         class.aim + (class.aim_stretch * sending * 1e6) as Micros
     }
 
+    /// Closes a request whose client has closed the connection or no longer waits for the answer.
     pub(super) fn left(&mut self, id: RequestId) {
         let port = self.requests.get(&id).map(|open| open.port.clone());
         if self.close(id) {
--- a/silverspindle/src/director/attempts.rs
+++ b/silverspindle/src/director/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent as the module decides, ended by peers or from this side.
+//! Attempts: sent as the module decides, and ended by the peer or by the director.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,11 +10,14 @@
 use crate::traffic::{Attempt, Call, End, Terms, Verdict};
 use crate::upstream::Order;
 
-/// What is booked on a cold member is written within this part of the time in which it falls over, or decided anew: what
-/// waits for a connection and arrives with what is decided later would be more than its budget.
+/// An attempt at a cold member must be written within this part (the divisor) of the time for which an
+/// overload tips such a member over; otherwise the module decides again. Attempts that waited for a
+/// connection and arrived together with later ones would exceed the member's budget.
 const COLD_WAIT: Micros = 10;
 
 impl Director {
+    /// Handles the end of an attempt: answers the request if it was served, and passes the outcome to the
+    /// module.
     pub(super) fn ended(&mut self, end: End) {
         let Some(out) = self.attempts.remove(&end.ticket) else { return };
         self.shared.board.over(&out.attempt, end.status == Status::Ok, end.note);
@@ -23,11 +26,13 @@
             open.account.ended(now, end.ticket, end.status);
         }
         if end.status == Status::Moot {
-            // Perhaps the limit of its copy's age did not do: what is decided instead goes by a new one.
+            // The attempt's maximum copy age may have been too high for the expired lease: the module is told
+            // the age again, so that its next decision uses a new limit.
             self.told_stale = None;
         }
         if end.status == Status::Moot && out.attempt.client.is_gone() {
-            // Found at the moment of writing, before the front told: there is nothing to decide any more.
+            // The peer found at writing time that the client is gone, before the front reported it: nothing
+            // is left to decide.
             self.left(out.id);
         }
         if end.status == Status::Ok {
@@ -53,7 +58,8 @@
         }));
     }
 
-    /// An attempt is out no more; whether its request is finished.
+    /// Removes an attempt that is no longer in flight from its request. Returns whether the request is
+    /// finished.
     pub(super) fn let_go(&mut self, id: RequestId, ticket: u64) -> bool {
         let Some(open) = self.requests.get_mut(&id) else { return true };
         open.out.retain(|t| *t != ticket);
@@ -64,7 +70,7 @@
         closed
     }
 
-    /// Ends an attempt from this side: nobody waits for it any more.
+    /// Ends an attempt from the director's side, because its result is no longer needed.
     pub(super) fn drop_attempt(&mut self, ticket: u64, status: Status) {
         let Some(out) = self.attempts.get(&ticket) else { return };
         out.attempt.dropped.set(true);
@@ -72,7 +78,7 @@
         self.ended(End::bare(ticket, status));
     }
 
-    /// Whether a member has started so lately that only so much may be sent to it.
+    /// Whether a member started so recently that its load is still limited (slow start).
     pub(super) fn is_cold(&self, now: Micros, id: MemberId) -> bool {
         let Some(noted) = self.shared.board.noted(id).filter(|noted| noted.started > 0) else { return false };
         let time = match Some(noted.kind) {
@@ -83,6 +89,7 @@
         now < noted.started.saturating_add(time)
     }
 
+    /// Sends an attempt, or reports it to the module as never sent if it may not or can't be sent.
     pub(super) fn send(&mut self, id: RequestId, member: MemberId, until: Micros, terms: Terms) {
         let now = self.now();
         let most = self.settings.max_attempts;
@@ -118,7 +125,7 @@
             bare: Cell::new(false),
             tokens: Cell::new(0),
         });
-        // In simulation, too, what may not or can't be sent any more ends as never sent.
+        // As in the simulator, an attempt that may not or can't be sent any more ends as never sent.
         let may = !open.closed && until > now && (most == 0 || number < most);
         self.shared.board.begun(&attempt, member);
         let peer = peer.filter(|p| may && p.try_send(Order::Send(attempt.clone())).is_ok());
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -1,5 +1,5 @@
-//! What the director makes of the feed: news in their order, word of what it has taken in, and the safe reading while the
-//! feed's lease has run out.
+//! How the director handles the feed: it applies updates in order, acknowledges what it has applied, and
+//! treats all older copies as possibly purged while the feed's lease has run out.
 
 use bitternhold::{EVERY_GROUP, Event, ListKind, Micros};
 
@@ -9,11 +9,12 @@
 use crate::steady::steady;
 use crate::traffic::Notice;
 
-/// While the feed's lease has run out the module is told so this often, as the age that it was told grows from then on.
+/// Interval in which the module is told the maximum copy age while the feed's lease has run out, in
+/// microseconds. It has to be repeated because the age that the module was told keeps growing.
 const TELL_STALE: Micros = 1_000_000;
 
 impl Director {
-    /// Takes in what is told of the list and of purges.
+    /// Handles an update of the list or of the purges.
     pub fn notice(&mut self, notice: Notice) {
         match notice {
             Notice::News(news) => self.news(news, ListKind::Full),
@@ -27,13 +28,15 @@
         }
     }
 
-    /// Whether a copy that the origin gave out then is younger than the feed's lease, where that has run out.
+    /// Whether a copy that the origin issued at this time may be served as far as the feed's lease goes:
+    /// always while the lease holds, and only if the copy is younger than the lease once it has run out.
     pub(super) fn is_young(&self, now: Micros, stamp: Stamp) -> bool {
         self.shared.board.oldest().is_none_or(|oldest| self.skew.copy_age(now, stamp) < oldest)
     }
 
-    /// Tells the module that copies as old as the feed's lease may be purged, while that has run out. Told again before
-    /// the age has grown past the lease: an attempt with a later limit is never written.
+    /// While the feed's lease has run out, tells the module that copies as old as the lease may be purged.
+    /// This is repeated before the age has grown past the lease, because an attempt with a higher age limit
+    /// is never written.
     pub(super) fn tell_stale(&mut self) {
         let Some(oldest) = self.shared.board.oldest_asked() else {
             self.told_stale = None;
--- a/silverspindle/src/director/own_copies.rs
+++ b/silverspindle/src/director/own_copies.rs
@@ -1,5 +1,5 @@
-//! The router's own copies as requests meet them: kept from answers, offered to the module when a request comes, served when
-//! it says so, let go when they are purged.
+//! How requests use the router's own copies: a copy is kept from an answer, offered to the module when a
+//! request comes, served when the module says so, and released when it is purged.
 
 use std::rc::Rc;
 
@@ -14,7 +14,8 @@
 use crate::traffic::{Call, End, Refusal, SafeToRetry, Verdict};
 
 impl Director {
-    /// Keeps the copy that an answer brought, or notes that a cache still has it.
+    /// Keeps the copy that an answer carried, or records that a cache has confirmed the version that the
+    /// router holds.
     pub(super) fn keep_copy(&mut self, call: &Call, end: &End) {
         let write = self.settings.classes.get(call.class).is_none_or(|c| c.write);
         let Some((key, (tag, stamp))) = call.copy().zip(end.name.as_ref()).filter(|_| !write) else { return };
@@ -25,14 +26,16 @@
         }
     }
 
-    /// The router's own copy of what is asked for, as far as the feed's lease vouches for it.
+    /// The router's own copy of the requested part, unless the feed's lease has run out and the copy is too
+    /// old.
     pub(super) fn offered_copy(&self, now: Micros, call: &Call) -> Option<Rc<Copy>> {
         let copy = self.copies.get(&call.copy()?)?;
         self.is_young(now, copy.stamp).then(|| copy.clone())
     }
 
-    /// Answers from the copy that the request was offered; false where it may not be served any more. Its age counts to when
-    /// the request came, so the time that passed since takes nothing from it; a purge and the feed's lease do.
+    /// Answers a request from the copy that was offered for it. Returns false if the copy may not be served
+    /// any more. The copy's age is counted up to the request's arrival, so it does not age out while the
+    /// request is open; a purge or an expired feed lease still rules it out.
     pub(super) fn serve_own_copy(&mut self, id: RequestId) -> bool {
         let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { return true };
         let (call, now) = (open.call.clone(), self.now());
@@ -63,7 +66,7 @@
         true
     }
 
-    /// Requests let go of the own copies that a purge is of.
+    /// Makes open requests release the own copies that a purge applies to.
     pub(super) fn drop_offered(&mut self, what: Purged, at: Stamp) {
         for open in self.requests.values_mut() {
             let (call, own) = (&open.call, &mut open.own);
--- a/silverspindle/src/guards.rs
+++ b/silverspindle/src/guards.rs
@@ -1,11 +1,13 @@
-//! Guards that a debug build can go without, to test that the checkers find what they guard against.
+//! Names of guards that can be disabled in a debug build, to test that the checkers find the faults that the
+//! guards prevent.
 
-/// A refusal is given only on the proof of its request's attempts.
+/// The guard that a request is refused only if its attempts prove that a retry does no harm.
 pub(crate) const REFUSAL_PROOF: &str = "refusal_proof";
-/// An own copy that is lost says nothing of what may have run.
+/// The guard that a lost own copy is not taken as proof that no attempt has run.
 pub(crate) const OWN_COPY_LOSS: &str = "own_copy_loss";
 
-/// Whether the guard of this name is left out: named by `SILVERSPINDLE_WITHOUT`, in a debug build alone.
+/// Whether the guard of this name is disabled: it is named by the environment variable
+/// `SILVERSPINDLE_WITHOUT`, and this is a debug build.
 pub(crate) fn without(guard: &str) -> bool {
     cfg!(debug_assertions) && std::env::var("SILVERSPINDLE_WITHOUT").is_ok_and(|out| out == guard)
 }
--- a/silverspindle/src/skew.rs
+++ b/silverspindle/src/skew.rs
@@ -1,27 +1,30 @@
-//! How wrong this machine's wall clock was when the process began, as far as copies tell.
+//! Estimates the error that this machine's wall clock had when the process started, from the time stamps of
+//! copies.
 //!
-//! Ages of what other machines stamp are counted on the own clock, which begins with the wall clock's time. A clock that was behind
-//! makes copies look too young, one that was ahead makes purges look long past. No copy is younger than its stamp: the least
-//! age that was seen bounds the fault from one side, and each age is then taken for what is safe.
+//! Ages of time stamps from other machines are computed on the process's own clock, which starts from the
+//! wall clock. A wall clock that was behind makes copies look too young, one that was ahead makes purges look
+//! too old. No copy can have a negative age, so the least age seen bounds the error from one side; ages are
+//! then corrected to the safe side.
 
 use bitternhold::Micros;
 
 use crate::clock::Stamp;
 
-/// A stamp that lies further ahead is no word on the clock: the operators' clocks are wrong by an hour at most.
+/// Maximum error that a time stamp is taken as evidence for, in microseconds. Stamps further ahead are
+/// ignored: the operators' clocks are wrong by an hour at most.
 const MOST_BEHIND: Micros = 2 * 3600 * 1_000_000;
 
-/// What is known of the own clock's fault.
+/// Bounds on the error of the own clock.
 #[derive(Debug, Default)]
 pub struct Skew {
-    /// By how much stamps were seen to lie ahead of the own clock.
+    /// Largest amount by which a stamp was ahead of the own clock.
     behind: Micros,
-    /// The least age that a copy was seen to have by the own clock; none before the first.
+    /// Least age of a copy on the own clock; `None` before the first.
     least_age: Option<Micros>,
 }
 
 impl Skew {
-    /// A cache has answered with a copy that the origin gave out then.
+    /// Records that a cache has answered with a copy that the origin issued at this time.
     pub fn note(&mut self, now: Micros, stamp: Stamp) {
         let ahead = stamp.on_own_clock().saturating_sub(now);
         if ahead <= MOST_BEHIND {
@@ -31,12 +34,12 @@
         self.least_age = Some(self.least_age.map_or(age, |least| least.min(age)));
     }
 
-    /// The age of a copy, rather too old.
+    /// The age of a copy, overestimated rather than underestimated.
     pub fn copy_age(&self, now: Micros, stamp: Stamp) -> Micros {
         stamp.age(now.saturating_add(self.behind))
     }
 
-    /// The age of a purge, rather too young.
+    /// The age of a purge, underestimated rather than overestimated.
     pub fn purge_age(&self, now: Micros, at: Stamp) -> Micros {
         at.age(now).saturating_sub(self.least_age.unwrap_or(Micros::MAX))
     }
--- a/silverspindle/src/traffic.rs
+++ b/silverspindle/src/traffic.rs
@@ -1,6 +1,6 @@
-//! What the router's actors say to each other: requests and their answers, attempts and their ends, and the
-//! last news that an attempt is held against when it is written. Below the director and the peers, which
-//! both speak in these terms.
+//! The types that the router's actors exchange: requests and their answers, attempts and their ends, and the
+//! latest state of members and purges that an attempt is checked against when it is written. The director and
+//! the peer actors both build on this module.
 
 mod account;
 mod board;
@@ -26,50 +26,51 @@
 pub use account::{Account, Refusal, SafeToRetry};
 pub use board::{Board, Freshness, Guard, Lease, Members, Noted, Notice};
 
-/// A request, whatever protocol it came by.
+/// A request, independent of the protocol by which it came.
 #[derive(Debug)]
 pub struct Call {
-    /// The client's id for it, passed on unchanged.
+    /// The client's request id, forwarded unchanged.
     pub rid: String,
-    /// Place of its class in the settings.
+    /// Index of its class in the settings.
     pub class: usize,
-    /// The object, sixteen hex digits.
+    /// Object id, sixteen hex digits.
     pub object: String,
-    /// The part of it.
+    /// Number of the requested part of the object.
     pub part: u64,
-    /// The object's group.
+    /// Group of the object.
     pub group: u64,
-    /// Size, where told.
+    /// Size of the part in KB, if the client stated it.
     pub size_kb: Option<f64>,
-    /// The idempotency key.
+    /// Idempotency key, by which members drop repeats.
     pub token: Option<String>,
-    /// The tag of the copy that the client holds.
+    /// Tag of the copy that the client holds.
     pub cached: Option<String>,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Micros,
-    /// What a write carries.
+    /// Body of a write.
     pub body: Bytes,
-    /// Books the body's memory.
+    /// Accounts for the body's memory.
     pub taken: Taken,
-    /// It has its answer, or its client left or forgot it: nothing more is sent for it.
+    /// The request has its final answer, or its client disconnected or no longer waits: no more attempts are
+    /// written.
     pub over: Cell<bool>,
-    /// Connections of peers that its id stood on. It stands on none of them again: a second answer to an attempt that
-    /// has ended would be taken for the next one's.
+    /// Connections to peers on which its id was used. The id is not used again on any of them: a second
+    /// answer to an attempt that has ended would be taken for the answer to the next one.
     pub lines: RefCell<Vec<(MemberId, u64)>>,
 }
 
 impl Call {
-    /// The object as a purge names it.
+    /// The object id as a number, as purges name it.
     pub fn key(&self) -> Option<u64> {
         hex(&self.object)
     }
 
-    /// What a copy for it is kept under.
+    /// The key under which a copy that answers it is kept.
     pub(crate) fn copy(&self) -> Option<copies::Key> {
         Some((self.key()?, self.part, self.class))
     }
 
-    /// The client holds the copy of this tag.
+    /// Whether the client holds the copy with this tag.
     pub(crate) fn holds(&self, tag: &[u8]) -> bool {
         self.cached.as_ref().is_some_and(|own| own.as_bytes() == tag)
     }
@@ -78,18 +79,18 @@
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Served, with the bytes.
+    /// Served, with the body.
     Served(Bytes),
-    /// Served: the client's copy is the one.
+    /// Served without a body: the copy that the client holds is current.
     Holds,
-    /// Refused: trying again is harmless.
+    /// Refused: a retry does no harm.
     Refused(Refusal),
-    /// Failed.
+    /// Failed: the client can't conclude whether a retry does harm.
     Failed,
 }
 
 impl Verdict {
-    /// One word for the log.
+    /// Name in log lines and counters.
     pub fn name(&self) -> &'static str {
         match self {
             Verdict::Served(_) => "served",
@@ -99,21 +100,23 @@
         }
     }
 
-    /// Bytes of its body.
+    /// Size of the body in bytes.
     pub fn bytes(&self) -> usize {
         if let Verdict::Served(body) = self { body.len() } else { 0 }
     }
 }
 
-/// Books the bytes of a write while it is open.
+/// Accounts for the memory of a write's body while the request is open.
 #[derive(Debug, Default)]
 pub struct Taken {
+    /// Bytes that all open writes take together.
     all: Rc<Cell<usize>>,
+    /// Bytes of this one.
     own: usize,
 }
 
 impl Taken {
-    /// Books so many on top of what all have taken.
+    /// Adds this number of bytes to the total of all open writes, until dropped.
     pub fn new(all: &Rc<Cell<usize>>, own: usize) -> Self {
         all.set(all.get() + own);
         Self { all: all.clone(), own }
@@ -126,114 +129,116 @@
     }
 }
 
-/// Where the answers to a client's requests go: what a front for any protocol gives with each request.
+/// The client connection that answers go to. A front for any protocol passes one with each request.
 pub trait Port: Debug {
-    /// Its number; no other port of this director has it.
+    /// Number of the connection, unique within the director.
     fn id(&self) -> u64;
-    /// Takes the final answer to the request of this number. Must not wait.
+    /// Takes the final answer to the request with this sequence number. Must not block.
     fn answer(&self, seq: i32, verdict: Verdict);
-    /// The client left or forgot a request: no answer will come.
+    /// The client has disconnected or no longer waits for a request: no answer will come.
     fn drop_request(&self);
-    /// The client has closed, whether the front has been told yet or not.
+    /// Whether the client has closed the connection, even if the front has not noticed it yet.
     fn is_gone(&self) -> bool;
 }
 
-/// What the director is told by clients' and peers' actors.
+/// A message to the director, from the actors of clients and peers and from the other parts of the router.
 #[derive(Debug)]
 pub enum Message {
-    /// A request came.
+    /// A request was received.
     Request {
-        /// Where its answer goes.
+        /// The connection that its answer goes to.
         port: Rc<dyn Port>,
-        /// Its number there.
+        /// Its sequence number on the connection.
         seq: i32,
         /// The request.
         call: Call,
     },
-    /// The client has stopped waiting.
+    /// The client no longer waits for a request.
     Forget {
-        /// Its connection.
+        /// Number of the client's connection.
         port: u64,
-        /// The request's number there.
+        /// The request's sequence number on it.
         seq: i32,
     },
     /// A client's connection ended.
     Left {
-        /// The connection.
+        /// Number of the connection.
         port: u64,
     },
-    /// What is open on a client's connection gets its final answer now: the connection has to end.
+    /// All open requests of a client's connection get their final answers now, because the connection has to
+    /// end.
     GiveUp {
-        /// The connection.
+        /// Number of the connection.
         port: u64,
     },
     /// An attempt ended.
     Ended(End),
-    /// Someone asks for all that is known.
+    /// Asks for all knowledge that can be shared with other routers.
     Give {
-        /// Where it goes.
+        /// Receives the items.
         reply: Sender<Vec<Item>>,
     },
-    /// Another told what it knows.
+    /// Items of knowledge received from another router.
     Learnt {
-        /// It was on the way for so long at most.
+        /// Upper bound on the time that the items were in transit.
         transit: Micros,
-        /// What it told.
+        /// The items.
         items: Vec<Item>,
     },
-    /// Half-lives changed.
+    /// The half-lives of shared knowledge have changed.
     HalfLives(HalfLives),
-    /// Members that the routers have agreed not to use, from now on.
+    /// The members that the routers have agreed not to use. Replaces the previous set.
     Withheld(BTreeSet<MemberId>),
-    /// Weights of members, in per cent of the list's, from now on.
+    /// Agreed weights of members, in per cent of the list's weights. Replaces the previous weights.
     Weights(BTreeMap<MemberId, u32>),
-    /// Own copies take so many bytes from now on.
+    /// New memory limit of the own copies, in bytes.
     Room(usize),
-    /// Put the module's limits on the board, for who plans work.
+    /// Asks the director to publish the module's per-member limits, for the planning of maintenance work.
     Limits,
     /// A probe ended.
     Probed {
-        /// Where it went.
+        /// The member that was probed.
         member: MemberId,
-        /// How.
+        /// The result.
         status: Status,
-        /// Time since the send.
+        /// Time since the probe was sent.
         elapsed: Micros,
-        /// The load report.
+        /// The member's load report, if it sent one.
         load: Option<Load>,
     },
 }
 
-/// Descriptors that peers' connections may take.
+/// Budget of file descriptors for connections to peers.
 #[derive(Debug)]
 pub struct Descriptors {
     all: usize,
     left: Cell<usize>,
-    /// Left to an older process, in an upgrade.
+    /// Descriptors left to an older process during an upgrade.
     reserved: Cell<usize>,
 }
 
 impl Descriptors {
-    /// So many.
+    /// A budget of `n` descriptors.
     pub fn new(n: usize) -> Rc<Self> {
         Rc::new(Self { all: n, left: Cell::new(n), reserved: Cell::new(0) })
     }
 
-    /// Takes no more than so many from now on; what is held stays.
+    /// Limits the descriptors in use to this number. Descriptors already in use beyond it are kept.
     pub fn keep_to(&self, most: usize) {
         self.reserved.set(self.all.saturating_sub(most));
     }
 
-    /// All of them.
+    /// Size of the whole budget.
     pub fn all(&self) -> usize {
         self.all
     }
 
-    /// There are enough for connections that could be done without.
+    /// Whether enough descriptors are left to open connections that are not strictly necessary.
     pub(crate) fn are_plenty(&self) -> bool {
         self.left.get() > self.all / 3 + self.reserved.get()
     }
 
+    /// Takes a descriptor from the budget, if one is left.
     pub(crate) fn take(self: &Rc<Self>) -> Option<Descriptor> {
         let left = self.left.get().checked_sub(1).filter(|left| *left >= self.reserved.get())?;
         self.left.set(left);
@@ -241,7 +246,7 @@
     }
 }
 
-/// One of them, given back when dropped.
+/// A descriptor in use, returned to the budget when dropped.
 #[derive(Debug)]
 pub(crate) struct Descriptor(Rc<Descriptors>);
 
@@ -251,61 +256,64 @@
     }
 }
 
-/// What the module decided on an attempt's answer.
+/// How an attempt is to be answered, as the module decided.
 #[derive(Clone, Debug)]
 pub struct Terms {
-    /// Where a miss is filled from; none: nowhere.
+    /// The member from which a miss is filled; `None`: a miss is not filled.
     pub source: Option<MemberId>,
-    /// How the copy is kept.
+    /// How long the cache is to keep the copy.
     pub keep: Keep,
-    /// The oldest copy that will do; none: the class's fresh time.
+    /// Maximum age of the copy; `None`: the fresh time of the class.
     pub max_age: Option<Micros>,
     /// How the fill is done.
     pub mode: FillMode,
 }
 
-/// An attempt on its way.
+/// An attempt in flight, or pending at a peer.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The director's number for it.
+    /// The director's number for the attempt.
     pub ticket: u64,
     /// The request.
     pub call: Rc<Call>,
-    /// How it is answered.
+    /// How it is to be answered.
     pub terms: Terms,
-    /// Who waits for the answer.
+    /// The client connection that waits for the answer.
     pub client: Rc<dyn Port>,
-    /// When the attempt is dropped.
+    /// When the attempt times out.
     pub until: Micros,
-    /// Its first byte is written before this or never: its end, the end of the window in which the request may be
-    /// repeated, and for a cold member shortly after it was booked there.
+    /// Latest time for its first byte to be written: the earliest of its timeout, the end of the window in
+    /// which the request may be repeated, and, for a cold member, a short time after the decision.
     pub write_by: Micros,
-    /// The peer's connection that is to write it; another one passes it over.
+    /// Number of the connection to the peer that is to write it; other connections skip it.
     pub line: Cell<u64>,
-    /// The board's moment at which it was decided.
+    /// Number of purges that were known when it was decided. Later purges forbid writing it.
     pub decided: u64,
-    /// Its first byte was written: from then on it may have run.
+    /// Its first byte has been written, so it may have run.
     pub written: Cell<bool>,
-    /// Nobody waits for it any more.
+    /// The director has timed it out or cancelled it.
     pub dropped: Cell<bool>,
-    /// It is its request's first.
+    /// It is the first attempt of its request.
     pub first: bool,
-    /// Written without its source: the router's share of a limit is used up, and the cache may hold a copy.
+    /// Written without its source, because the router's share of a limit is used up; the cache may still hold
+    /// a copy.
     pub bare: Cell<bool>,
-    /// What it holds of shares of limits: [`OFFICE_TOKEN`], [`PARENT_TOKEN`].
+    /// Rate limit tokens that it holds, as a set of bits: [`OFFICE_TOKEN`], [`PARENT_TOKEN`].
     pub tokens: Cell<u8>,
 }
 
-/// Of the head office's limit.
+/// A token of the router's share of the head office's limit.
 pub const OFFICE_TOKEN: u8 = 1;
-/// Of a parent's limit.
+/// A token of the router's share of a parent's limit.
 pub const PARENT_TOKEN: u8 = 2;
 
 impl Attempt {
+    /// Encodes the attempt as a command to the member.
     pub(crate) fn command(&self, names: &Catalogue) -> Vec<u8> {
         let call = &*self.call;
         let class = names.classes.get(call.class).map_or("", String::as_str);
-        // Rounded to the safe side: a shorter wait, a younger copy; 0 would mean the fresh time.
+        // Times are rounded down, to a shorter wait and a younger copy, but not to 0, which would mean the
+        // fresh time.
         let ttl = (self.until.saturating_sub(clock::now()) / 1000).max(1);
         let mut fields = format!("lane={class},name={},piece={},ttl={ttl}", call.object, call.part);
         let mut put = |name: &str, value: &str| {
@@ -344,44 +352,44 @@
     }
 }
 
-/// How an attempt ended, and what came with it.
+/// The end of an attempt, with what its answer carried.
 #[derive(Debug)]
 pub struct End {
-    /// The director's number for it.
+    /// The director's number for the attempt.
     pub ticket: u64,
-    /// How.
+    /// How it ended.
     pub status: Status,
-    /// How it came about.
+    /// How the answer came about, as reported by the member.
     pub note: Option<Note>,
-    /// Time spent waiting for the source.
+    /// Time that the member spent waiting for the source.
     pub waited: Option<Micros>,
-    /// The load report.
+    /// The member's load report.
     pub load: Option<Load>,
-    /// The bytes, if it was served; none where the client's copy is the one.
+    /// The body, if it was served; `None` if the copy that the client holds is current.
     pub body: Option<Bytes>,
-    /// The copy's tag and when the origin gave it out, where it has these.
+    /// Tag of the copy and the time at which the origin issued it, if the answer has them.
     pub name: Option<(Bytes, Stamp)>,
 }
 
 impl End {
-    /// An end of which nothing else is known.
+    /// An end with a status only.
     pub fn bare(ticket: u64, status: Status) -> Self {
         Self { ticket, status, note: None, waited: None, load: None, body: None, name: None }
     }
 }
 
-/// What all peers share.
+/// What the director and all peer actors share.
 #[derive(Debug)]
 pub struct Shared {
     /// The settings.
     pub catalogue: Rc<Catalogue>,
-    /// What was told last.
+    /// Latest state of the members, the purges and the agreed rules.
     pub board: Rc<Board>,
-    /// Descriptors left.
+    /// Budget of file descriptors for connections to peers.
     pub descriptors: Rc<Descriptors>,
     /// The director's mailbox.
     pub director: Sender<Message>,
-    /// Where tasks run.
+    /// The executor that runs all tasks.
     pub tasks: Rc<LocalExecutor<'static>>,
 }
 
@@ -389,7 +397,8 @@
 mod tests {
     use super::*;
 
-    /// What is left to an older process is not taken, and what is held stays held.
+    /// During an upgrade, descriptors left to the older process are not taken, and descriptors in use are
+    /// kept.
     #[test]
     fn descriptors_keep_to_their_part_while_an_older_process_stands_beside() {
         let all = Descriptors::new(4);
--- a/silverspindle/src/traffic/account.rs
+++ b/silverspindle/src/traffic/account.rs
@@ -1,7 +1,9 @@
-//! The account of one request's attempts: where each went, whether it was written and how it ended, and what that proves.
+//! The history of one request's attempts: where each was sent, whether it was written, how it ended, and what
+//! that proves.
 //!
-//! A refusal promises the client that trying again does no harm. That promise can be given by nobody who does not know what the
-//! attempts have come to, so [`Refusal`] can't be made without [`SafeToRetry`], and that comes from here alone.
+//! A refusal promises the client that a retry does no harm. Only code that knows how all attempts ended can
+//! give that promise, so a [`Refusal`] can't be constructed without a [`SafeToRetry`], and only this module
+//! creates one.
 
 use std::fmt;
 use std::rc::Rc;
@@ -11,55 +13,58 @@
 use super::{Attempt, Call};
 use crate::guards::{REFUSAL_PROOF, without};
 
-/// Proof that trying a request again does no harm.
+/// Proof that retrying a request does no harm.
 #[derive(Debug)]
 pub struct SafeToRetry(());
 
 impl SafeToRetry {
-    /// A request that nobody has handed on, nor can from now on.
+    /// The proof for a request that was never sent. Taking the request by value ensures that it can't be sent
+    /// later.
     pub fn unsent(_: Call) -> Self {
         Self(())
     }
 
-    /// None at all, where this guard is left out.
+    /// Creates a proof without grounds if this guard is disabled, for tests of the checkers.
     pub(crate) fn unproven(guard: &str) -> Option<Self> {
         without(guard).then_some(Self(()))
     }
 }
 
-/// A final answer by which the client is told that trying again does no harm.
+/// A final answer that tells the client that a retry does no harm.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     backoff: Option<u64>,
 }
 
 impl Refusal {
-    /// With advice as the module gives it, in milliseconds.
+    /// A refusal with the retry delay that the module advises, in milliseconds.
     pub fn advised(_: SafeToRetry, backoff: Option<u64>) -> Self {
         Self { backoff }
     }
 
-    /// With advice from outside the module, in milliseconds, as far as the settings have any.
+    /// A refusal with a retry delay that does not come from the module, in milliseconds: capped by the
+    /// settings, and left out if they pass no delay on.
     pub fn new(_: SafeToRetry, settings: &Settings, advice: u64) -> Self {
         let most = settings.max_retry_after / 1000;
         Self { backoff: (most > 0).then_some(advice.min(most)) }
     }
 
-    /// For so many milliseconds the client is to stay away.
+    /// Delay before the client may retry, in milliseconds.
     pub fn backoff(&self) -> Option<u64> {
         self.backoff
     }
 }
 
-/// How an attempt stands.
+/// State of an attempt.
 #[derive(Debug)]
 enum State {
-    /// On its way; it says itself whether its first byte was written.
+    /// In flight; [`Attempt::written`] tells whether its first byte was written.
     Out(Rc<Attempt>),
-    /// Ended, after so long.
+    /// Ended, this long after the decision.
     Ended(Status, Micros),
 }
 
+/// An attempt in the history.
 #[derive(Debug)]
 struct Entry {
     member: MemberId,
@@ -79,13 +84,14 @@
 /// All attempts of one request, in the order in which they were decided.
 #[derive(Debug)]
 pub struct Account {
-    /// Its class may be repeated anywhere, at any time.
+    /// Requests of its class may be repeated at any member, at any time.
     repeats_freely: bool,
     entries: Vec<Entry>,
 }
 
 impl Account {
-    /// The account of a request that was not sent on yet, by its class; one not known is taken for the most delicate.
+    /// The history of a request of this class without any attempts. An unknown class is treated as at most
+    /// once.
     pub fn new(class: Option<&Class>) -> Self {
         let freely = |c: &Class| match c.effect {
             Effect::Idempotent => true,
@@ -95,24 +101,24 @@
         Self { repeats_freely: class.is_some_and(freely), entries: Vec::new() }
     }
 
-    /// The proof that the request may be refused, where there is one. Who refuses it closes it: what is out and unwritten is
-    /// then never written.
+    /// The proof that the request may be refused, if the attempts give one. The caller has to close the
+    /// request when it refuses it: attempts in flight that are still unwritten are then never written.
     pub fn safe_to_retry(&self) -> Option<SafeToRetry> {
         let proven = self.repeats_freely || !self.may_have_run();
         proven.then_some(SafeToRetry(())).or_else(|| SafeToRetry::unproven(REFUSAL_PROOF))
     }
 
-    /// An attempt at this member was decided and is on its way.
+    /// Records an attempt that was handed to the member's peer actor.
     pub fn sent(&mut self, now: Micros, member: MemberId, attempt: &Rc<Attempt>) {
         self.entries.push(Entry { member, decided: now, state: State::Out(attempt.clone()) });
     }
 
-    /// An attempt at this member was decided and could not be sent.
+    /// Records an attempt that was decided but could not be sent.
     pub fn unsent(&mut self, now: Micros, member: MemberId) {
         self.entries.push(Entry { member, decided: now, state: State::Ended(Status::Moot, 0) });
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     pub fn ended(&mut self, now: Micros, ticket: u64, status: Status) {
         let own = |e: &&mut Entry| matches!(&e.state, State::Out(attempt) if attempt.ticket == ticket);
         if let Some(entry) = self.entries.iter_mut().find(own) {
@@ -120,12 +126,12 @@
         }
     }
 
-    /// How many attempts were decided.
+    /// Number of attempts that were decided.
     pub fn attempts(&self) -> u32 {
         self.entries.len() as u32
     }
 
-    /// How the attempt that was decided last ended; none: it is out, or there was none.
+    /// How the most recently decided attempt ended; `None` if it is in flight or there was none.
     pub fn last_end(&self) -> Option<Status> {
         match self.entries.last()?.state {
             State::Ended(status, _) => Some(status),
@@ -133,20 +139,22 @@
         }
     }
 
-    /// Whether any attempt may have run: its first byte was written, and its end does not prove the contrary.
+    /// Whether any attempt may have run: its first byte was written, and it has not ended with a status that
+    /// proves that it never ran.
     pub fn may_have_run(&self) -> bool {
         self.entries.iter().any(Entry::may_have_run)
     }
 
-    /// When the first attempt was decided that is out or may have run. The window in which the request may be repeated
-    /// counts from there: what is out may be written at any moment since.
+    /// When the first attempt that is in flight or may have run was decided. The window in which the request
+    /// may be repeated counts from there, because an attempt in flight may have been written at any time
+    /// since.
     pub fn repeat_from(&self) -> Option<Micros> {
         let counts = |e: &&Entry| matches!(e.state, State::Out(_)) || e.may_have_run();
         self.entries.iter().find(counts).map(|entry| entry.decided)
     }
 }
 
-/// For log lines: member, state and milliseconds of each attempt.
+/// Formats the attempts for log lines: member, state and duration in milliseconds of each.
 impl fmt::Display for Account {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (i, entry) in self.entries.iter().enumerate() {
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -1,4 +1,5 @@
-//! What was told last of the members and of purges, and the last look at an attempt at the moment of writing.
+//! The latest state of the members, the purges and the agreed rules, and the final check of an attempt right
+//! before it is written.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -13,76 +14,77 @@
 use crate::feed::{News, Purged};
 use crate::steady::steady;
 
-/// A member by the coordinator's word.
+/// A member as the coordinator lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Noted {
-    /// Its kind.
+    /// Index of its kind in the settings.
     pub kind: usize,
-    /// Its zone.
+    /// Index of its zone in the settings.
     pub zone: usize,
-    /// It takes work.
+    /// It is ready, so requests may be sent to it.
     pub ready: bool,
-    /// When it started, on the own clock.
+    /// When its process started, on this process's clock.
     pub started: Micros,
 }
 
-/// Members on the list.
+/// The members on the coordinator's list.
 pub type Members = BTreeMap<MemberId, Noted>;
 
-/// What routers agree on, asked at the moment of acting.
+/// The rules that the routers have agreed on, consulted right before acting.
 pub trait Guard: Debug {
-    /// Whether an attempt to a member may go out now.
+    /// Whether an attempt may be written to this member now.
     fn allows(&self, attempt: &Attempt, to: MemberId, members: &Members) -> bool;
-    /// An attempt ended.
+    /// Called when an attempt has ended.
     fn over(&self, attempt: &Attempt, note: Option<Note>);
     /// Whether a request of this class and group is refused.
     fn refuses(&self, class: usize, group: u64) -> bool;
-    /// A request was answered, in the wanted time or not.
+    /// Called when a request was answered, within its aim or not.
     fn answered(&self, in_time: bool);
-    /// The versions that it acts on; none: rules are off.
+    /// The versions of the rules in force, for the log; `None` if rules are off.
     fn version(&self) -> Option<String>;
 }
 
-/// How fresh the feed of purges is at a moment.
+/// How fresh the feed of purges is at some time.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    /// The moment, by the steady clock.
+    /// That time, on the steady clock.
     pub at: Micros,
-    /// How old the feed's confirmation is; none: it has never had one.
+    /// Age of the feed's last confirmation; `None` if there has been none.
     pub age: Option<Micros>,
-    /// Where the lease has run out: copies older than this may have been purged without this router's knowing.
+    /// Set while the lease has run out: copies older than this may have been purged without this router's
+    /// knowledge.
     pub oldest: Option<Micros>,
 }
 
-/// How fresh the feed of purges is, asked at the moment of acting.
+/// The lease of the feed of purges, consulted right before acting.
 pub trait Lease: Debug {
-    /// Now.
+    /// How fresh the feed is now.
     fn look(&self) -> Freshness;
-    /// The director has taken a batch in, numbers from behind `after` up to `number`.
+    /// Called when the director has applied a batch: the numbers after `after`, up to and including `number`.
     fn applied(&self, after: u64, number: u64);
-    /// The director has taken in what stands for all numbers up to this one.
+    /// Called when the director has applied a state that replaces all numbers up to and including this one.
     fn reset(&self, number: u64);
-    /// An attempt goes out that was held against this look.
+    /// Called when an attempt is written that was checked against this freshness.
     fn acted(&self, attempt: &Attempt, look: Freshness);
 }
 
-/// What the director is told by whoever follows the list and the purges, in order.
+/// An update from the source of the list and the purges, delivered to the director in order.
 #[derive(Debug)]
 pub enum Notice {
-    /// An event of the coordinator's.
+    /// An event of the coordinator.
     News(News),
-    /// All copies from before then may be purged.
+    /// All copies issued before this time may have been purged.
     PurgedBefore(Stamp),
-    /// What was told since is the whole batch of these numbers.
+    /// The updates since the last `Batch` or `Reset` are the complete batch of these numbers.
     Batch {
         /// The number before the first.
         after: u64,
-        /// The last.
+        /// The last number.
         number: u64,
     },
-    /// What was told since stands for all numbers up to this one.
+    /// The updates since the last `Batch` or `Reset` replace all numbers up to this one.
     Reset {
-        /// The last.
+        /// The last number.
         number: u64,
     },
 }
@@ -93,56 +95,63 @@
     }
 }
 
-/// What was told last of the members and of purges, for a last look at the moment of writing.
+/// The latest state of the members, the purges and the agreed rules, for the final check of an attempt right
+/// before it is written.
 #[derive(Debug, Default)]
 pub struct Board {
     clock: Clock,
+    /// The rules that the routers have agreed on, if rules are on.
     agreed: RefCell<Option<Rc<dyn Guard>>>,
-    /// The feed of purges, where it has a lease.
+    /// The lease of the feed of purges, if it has one.
     lease: RefCell<Option<Rc<dyn Lease>>>,
-    /// So long after a purge the caches have dropped all older copies.
+    /// Time after a purge by which the caches have dropped all older copies.
     cleared: Cell<Micros>,
-    /// Nothing goes out before what is agreed is known: orders for work are on.
+    /// No attempt is written until the agreed rules are known here.
     waits: Cell<bool>,
-    /// Members on the list.
+    /// The members on the coordinator's list.
     members: RefCell<Members>,
-    /// What is open where; only kept where orders for work are on.
+    /// The attempts that may be open at each member. Kept only if orders of work are on.
     ledger: RefCell<Option<Ledger>>,
-    /// The module's limits of what may be out to members, and whether it has set them aside.
+    /// The module's limits on attempts in flight by member, and whether the member is quarantined.
     limits: RefCell<BTreeMap<MemberId, (f64, bool)>>,
+    /// Members to which attempts may be written.
     ready: RefCell<BTreeSet<MemberId>>,
+    /// The number of the last purge of each object or group, and when it was received.
     purges: RefCell<HashMap<Purged, (u64, Micros)>>,
+    /// Number of purges received.
     told: Cell<u64>,
 }
 
 impl Board {
-    /// A board that goes by this clock.
+    /// An empty state that uses this clock.
     pub fn by(clock: Clock) -> Self {
         Self { clock, ..Self::default() }
     }
 
-    /// The clock that it goes by.
+    /// The clock in use.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// What routers agree on is in force from now on.
+    /// Puts the agreed rules in force.
     pub fn agree(&self, guard: Rc<dyn Guard>) {
         *self.agreed.borrow_mut() = Some(guard);
     }
 
-    /// The feed of purges has a lease from now on. So long after a purge the caches have dropped all older copies.
+    /// Sets the lease of the feed of purges. `cleared` is the time after a purge by which the caches have
+    /// dropped all older copies.
     pub fn lease(&self, lease: Rc<dyn Lease>, cleared: Micros) {
         *self.lease.borrow_mut() = Some(lease);
         self.cleared.set(cleared);
     }
 
-    /// While the feed's lease has run out: copies older than this are not to be served.
+    /// While the feed's lease has run out: the maximum age of copies that may be served.
     pub fn oldest(&self) -> Option<Micros> {
         self.lease.borrow().as_ref()?.look().oldest
     }
 
-    /// The same for caches' copies; none where the caches have dropped them by then themselves.
+    /// The same for copies of caches; `None` if the caches themselves have dropped older purged copies by
+    /// that age.
     pub fn oldest_asked(&self) -> Option<Micros> {
         self.asked(self.oldest()?)
     }
@@ -151,7 +160,8 @@
         (oldest <= self.cleared.get()).then_some(oldest)
     }
 
-    /// The director has taken a batch in, or what stands for all numbers up to this one.
+    /// Reports that the director has applied a batch, or, without `after`, a state that replaces all numbers
+    /// up to this one.
     pub fn applied(&self, after: Option<u64>, number: u64) {
         match (self.lease.borrow().as_ref(), after) {
             (Some(lease), Some(after)) => lease.applied(after, number),
@@ -160,46 +170,49 @@
         }
     }
 
-    /// Nothing goes out before what is agreed is known here.
+    /// Forbids writing attempts until the agreed rules are known here.
     pub fn wait(&self) {
         self.waits.set(true);
     }
 
-    /// Whether a request of this class and group is refused by what is agreed.
+    /// Whether the agreed rules refuse requests of this class and group.
     pub fn refuses(&self, class: usize, group: u64) -> bool {
         self.agreed.borrow().as_ref().is_some_and(|agreed| agreed.refuses(class, group))
     }
 
-    /// A request was answered, in the wanted time or not.
+    /// Reports that a request was answered, within its aim or not.
     pub fn answered(&self, in_time: bool) {
         if let Some(agreed) = self.agreed.borrow().as_ref() {
             agreed.answered(in_time);
         }
     }
 
-    /// The versions that it acts on, for its log; none: rules are off.
+    /// The versions of the agreed rules in force, for the log; `None` if rules are off.
     pub fn version(&self) -> Option<String> {
         self.agreed.borrow().as_ref()?.version()
     }
 
-    /// Orders for work are on: what is open where is kept, and nothing goes out before they are known here.
+    /// Turns orders of work on: open attempts are tracked by member, and no attempt is written until the
+    /// orders are known here.
     pub fn wait_for_orders(&self) {
         self.wait();
         *self.ledger.borrow_mut() = Some(Ledger::default());
     }
 
-    /// An attempt is on its way, or waits to be written.
+    /// Records an attempt that is in flight or waits to be written.
     pub(crate) fn begun(&self, attempt: &Attempt, to: MemberId) {
         if let Some(ledger) = &mut *self.ledger.borrow_mut() {
             let members = [Some(to), attempt.terms.source].into_iter().flatten();
             let members = members.map(|id| id.0 as u32).collect();
-            // By the steady clock: what may be open must not end as the Unix clock is set.
+            // On the steady clock: setting the Unix clock must not end the time in which an attempt may be
+            // open.
             let (now, left) = (steady(), attempt.until.saturating_sub(self.clock.now()));
             ledger.begin(now, attempt.ticket, members, now + left);
         }
     }
 
-    /// It ended; an answer ends all of it, unless the copy is renewed behind it.
+    /// Records the end of an attempt. After an answer nothing of it is open any more, unless the member still
+    /// renews the copy.
     pub(crate) fn over(&self, attempt: &Attempt, answered: bool, note: Option<Note>) {
         if let Some(agreed) = self.agreed.borrow().as_ref() {
             agreed.over(attempt, note);
@@ -210,17 +223,17 @@
         }
     }
 
-    /// What is open where.
+    /// Accesses the ledger of open attempts, if orders of work are on.
     pub fn ledger<T>(&self, look: impl FnOnce(&mut Ledger) -> T) -> Option<T> {
         self.ledger.borrow_mut().as_mut().map(look)
     }
 
-    /// The module's limits, by member, and whether it has set it aside.
+    /// The module's limits by member, and whether the member is quarantined.
     pub fn limits(&self) -> std::cell::RefMut<'_, BTreeMap<MemberId, (f64, bool)>> {
         self.limits.borrow_mut()
     }
 
-    /// The coordinator's list, for who plans work on its members.
+    /// Applies the coordinator's list, for slow start and for the planning of maintenance work.
     pub fn note_members(&self, complete: bool, members: &[Member]) {
         let mut all = self.members.borrow_mut();
         if complete {
@@ -238,17 +251,17 @@
         }
     }
 
-    /// See [`Board::note_members`].
+    /// The members on the coordinator's list; see [`Board::note_members`].
     pub fn members(&self) -> Members {
         self.members.borrow().clone()
     }
 
-    /// What the coordinator's list says of a member.
+    /// A member's entry in the coordinator's list.
     pub fn noted(&self, id: MemberId) -> Option<Noted> {
         self.members.borrow().get(&id).copied()
     }
 
-    /// A member takes work or does not.
+    /// Sets whether attempts may be written to a member.
     pub fn set_ready(&self, id: MemberId, ready: bool) {
         match ready {
             true => self.ready.borrow_mut().insert(id),
@@ -256,12 +269,13 @@
         };
     }
 
-    /// Whether a member takes work.
+    /// Whether attempts may be written to a member.
     pub fn is_ready(&self, id: MemberId) -> bool {
         self.ready.borrow().contains(&id)
     }
 
-    /// Notes a purge; those told longer ago than `keep` concern nothing that still waits.
+    /// Records a purge. Purges received longer than `keep` ago are forgotten, because no pending attempt is
+    /// older.
     pub fn purged(&self, now: Micros, what: Purged, keep: Micros) {
         self.told.set(self.told.get() + 1);
         let mut purges = self.purges.borrow_mut();
@@ -269,14 +283,15 @@
         purges.insert(what, (self.told.get(), now));
     }
 
-    /// The moment of a decision, to be compared with what is told later.
+    /// Number of purges received so far. Stored with a decision, so that later purges can be told from
+    /// earlier ones.
     pub fn moment(&self) -> u64 {
         self.told.get()
     }
 
-    /// Whether an attempt may still be written: asked when its first byte is. Guards against what waited (for a
-    /// connection, or behind a full socket) while its time ran out, its client left, its cache or its source was
-    /// drained or its object purged.
+    /// Whether an attempt may still be written; checked right before its first byte. Guards against attempts
+    /// that waited (for a connection, or behind a full socket) while their time ran out, their client left,
+    /// their cache or their source was drained, or their object was purged.
     pub fn allows(&self, attempt: &Attempt, to: MemberId) -> bool {
         let purges = self.purges.borrow();
         let since = |what| purges.get(&what).is_some_and(|(told, _)| *told > attempt.decided);
@@ -290,7 +305,7 @@
             && !since(Purged::Group(attempt.call.group))
             && !since(Purged::Group(EVERY_GROUP))
             && !attempt.call.key().is_some_and(|key| since(Purged::Object(key)))
-            // Decided before the feed's lease ran out, it asks for copies that may be purged.
+            // An attempt decided before the feed's lease ran out asks for copies that may have been purged.
             && oldest.is_none_or(|oldest| attempt.terms.max_age.is_some_and(|age| age <= oldest));
         let allows = match self.agreed.borrow().as_ref() {
             Some(agreed) => allows && agreed.allows(attempt, to, &self.members.borrow()),
--- a/silverspindle/src/withheld.rs
+++ b/silverspindle/src/withheld.rs
@@ -1,7 +1,8 @@
-//! Members that the routers have agreed not to use, over the coordinator's list. No I/O.
+//! Applies what the routers have agreed on, members not to use and weights, to the coordinator's list. No
+//! I/O.
 //!
-//! Nothing agreed brings into use what the coordinator withholds: an entry is only ever made less usable here. A member
-//! that is withheld is told to the module as draining, by the event that exists for it.
+//! An agreement never puts a member into use that the coordinator withholds: an entry is only ever made less
+//! usable here. The module is told of a withheld member as a draining one, by the ordinary list event.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,17 +10,19 @@
 
 use crate::feed::Listed;
 
-/// The coordinator's entries, and who is withheld of them.
+/// The coordinator's entries, and the agreed changes to them.
 #[derive(Debug, Default)]
 pub struct Withheld {
     entries: BTreeMap<MemberId, Listed>,
+    /// Members that are not to be used.
     out: BTreeSet<MemberId>,
-    /// In per cent of the list's.
+    /// Agreed weights in per cent of the list's weights.
     weights: BTreeMap<MemberId, u32>,
 }
 
 impl Withheld {
-    /// Takes in what is told of members, by the coordinator or by hearsay, and makes of it what may be acted by.
+    /// Stores list entries from the coordinator or from other routers, and applies what is agreed to them in
+    /// place.
     pub fn told(&mut self, complete: bool, members: &mut [Listed]) {
         if complete {
             self.entries.clear();
@@ -33,6 +36,7 @@
         }
     }
 
+    /// Applies what is agreed to an entry.
     fn mask(&self, m: &mut Listed) {
         if m.member.lifecycle == Lifecycle::Ready && self.out.contains(&m.member.id) {
             m.member.lifecycle = Lifecycle::Draining;
@@ -42,7 +46,7 @@
         }
     }
 
-    /// Other weights hold from now on: the entries that change by that.
+    /// Replaces the agreed weights. Returns the entries that change by that.
     pub fn weigh(&mut self, weights: BTreeMap<MemberId, u32>) -> Vec<Listed> {
         let before = std::mem::replace(&mut self.weights, weights);
         let differs = |id: &&MemberId| before.get(id) != self.weights.get(id);
@@ -53,7 +57,7 @@
         changed
     }
 
-    /// Others are withheld from now on: the entries that change by that.
+    /// Replaces the set of withheld members. Returns the entries that change by that.
     pub fn set(&mut self, out: BTreeSet<MemberId>) -> Vec<Listed> {
         let before = std::mem::replace(&mut self.out, out);
         let changed = before.symmetric_difference(&self.out).filter_map(|id| self.entries.get(id).cloned());
@@ -85,7 +89,8 @@
         all.iter().map(|m| (m.member.id.0, m.member.lifecycle)).collect()
     }
 
-    /// Agreed weights scale the list's, also what it says anew, and go back with it.
+    /// Agreed weights scale the weights of the list, also in later entries; without an agreed weight the
+    /// list's holds again.
     #[test]
     fn agreed_weights_scale_the_lists() {
         let mut withheld = Withheld::default();
@@ -98,8 +103,9 @@
         assert_eq!(withheld.weigh(BTreeMap::new())[0].member.weight, 1.0);
     }
 
-    /// What is agreed withholds what the coordinator calls ready, also where it says so again or the member comes back
-    /// with a new start; what the coordinator withholds nothing agreed brings into use.
+    /// A member that is agreed to be withheld drains although the coordinator lists it as ready, also when it
+    /// is listed again or after a restart. A member that the coordinator drains is not put into use by any
+    /// agreement.
     #[test]
     fn the_coordinators_drain_outranks_and_an_agreed_out_holds() {
         use Lifecycle::{Draining, Gone, Ready};
