--- a/silverspindle/tests/common/orders.rs
+++ b/silverspindle/tests/common/orders.rs
@@ -1,6 +1,7 @@
-//! One request between the real director and module, without sockets: the test writes its attempts, ends them, gives the time and
-//! tells the news, and holds what comes of it against the rules of the protocol. The rules are written from the pages, not from
-//! the code: what may have run is what the test wrote and has not ended by a word that proves the contrary.
+//! Runs one request on the real director and module, without sockets. The test writes and ends the attempts,
+//! sets the time, delivers list updates and purges, and checks the results against the rules of the protocol.
+//! The rules are implemented from the protocol pages, not from the code: an attempt may have run if the test
+//! wrote it and has not ended it with a status that proves the contrary.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,8 +27,8 @@
 pub const S: Micros = 1_000_000;
 const START: Micros = 1_000_000 * S;
 
-/// A class's terms. The copy that the router holds is past its fresh time when the request comes, so that a cache is asked, and
-/// past all its time [`COPY_LEFT`] later, while it would still come within the wanted time.
+/// Settings of the class. The router's own copy is past its fresh time when the request comes, so that a
+/// cache is asked, and expires [`COPY_LEFT`] later, when an answer from it would still be within the aim.
 pub const AIM: Micros = 1200 * MS;
 pub const DEADLINE: Micros = 3000 * MS;
 pub const WINDOW: Micros = 2200 * MS;
@@ -35,7 +36,7 @@
 pub const STALE: Micros = 2 * S;
 const COPY_AGE: Micros = 6 * S;
 const COPY_LEFT: Micros = FRESH + STALE - COPY_AGE;
-/// The rules' own figures.
+/// Figures of the protocol's rules.
 const DRAIN_GRACE: Micros = S;
 const HEED_PURGES: Micros = 500 * MS;
 const CLEARED: Micros = 6 * S;
@@ -49,7 +50,7 @@
 const OWN_BODY: &[u8] = b"the router's own copy";
 const CACHE_BODY: &[u8] = b"a cache's answer";
 
-/// What a class allows, as the protocol's page says.
+/// Where requests of a class may be repeated, as defined by the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeats {
     Freely,
@@ -57,19 +58,19 @@
     Never,
 }
 
-/// The rules that hold for the request.
+/// The class and the limits that apply to the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub repeats: Repeats,
     pub write: bool,
     pub second_copies: bool,
     pub own_copy: bool,
-    /// Attempts that the settings allow.
+    /// Number of attempts that the settings allow.
     pub tries: usize,
 }
 
 impl Case {
-    /// The settings that tell a program all this.
+    /// The settings that configure a program for this case.
     pub fn settings(&self) -> Value {
         let (effect, group) = match self.repeats {
             Repeats::Freely => ("idempotent", "all"),
@@ -118,28 +119,30 @@
         }
     }
 
-    /// The protocol's page: NONE, SHED and LATE never ran; an error, a reset and a served one may have.
+    /// As defined by the protocol: NONE, SHED and LATE never ran; an error, a reset and a served attempt may
+    /// have.
     fn may_have_run(self) -> bool {
         matches!(self, Ending::Served | Ending::Error | Ending::Reset)
     }
 }
 
-/// One thing that can happen.
+/// An event that the test can cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The first byte of this attempt is written, if the last look allows it.
+    /// The first byte of the attempt with this index is written, if the final check allows it.
     Write(usize),
+    /// The attempt with this index ends.
     End(usize, Ending),
     Forget,
     Left,
     GiveUp,
     Drain,
     Remove,
-    /// The member of the first attempt is listed anew, in another cell.
+    /// The member of the first attempt is listed again, in another cell.
     Return,
     PurgeObject,
     PurgeGroup,
-    /// A purge that is told when it is older than the caches keep older copies.
+    /// A purge that is received only after the caches have dropped older copies themselves.
     PurgeLately,
     LeaseOut,
     CopyDisplaced,
@@ -148,6 +151,7 @@
     NextTimer,
 }
 
+/// An attempt that the director has sent.
 #[derive(Debug)]
 struct Sent {
     attempt: Rc<Attempt>,
@@ -202,7 +206,7 @@
 
 type Mailboxes = Rc<RefCell<BTreeMap<MemberId, Receiver<Order>>>>;
 
-/// The request, its surroundings and what was seen of both.
+/// The request, the simulated environment and what was observed of both.
 pub struct Play {
     case: Case,
     time: Rc<Cell<Micros>>,
@@ -217,7 +221,7 @@
     came: Micros,
     copy_stamp: Micros,
     sent: Vec<Sent>,
-    /// When each purge was told, and its own time.
+    /// When each purge was received, and its own time stamp.
     purges: Vec<(Micros, Micros)>,
     closed: bool,
     judged: usize,
@@ -226,7 +230,7 @@
 }
 
 impl Play {
-    /// A request that has come just now, before a program with these settings.
+    /// Starts a program with these settings and delivers the request to it.
     pub fn start(case: Case, program: &Rc<Catalogue>) -> Self {
         let time = Rc::new(Cell::new(START));
         let board = Rc::new(Board::by(Clock::given(time.clone())));
@@ -285,7 +289,7 @@
         play
     }
 
-    /// An earlier request leaves the router a copy.
+    /// Runs an earlier request whose answer the router keeps as its own copy.
     fn fill_own_copy(&mut self) {
         let before = Rc::new(Client { id: 1, ..Client::default() });
         self.director.message(Message::Request { port: before, seq: 1, call: self.call(0xa) });
@@ -330,7 +334,7 @@
         End { name: Some(name), ..End::bare(self.sent[index].attempt.ticket, status) }
     }
 
-    /// What can happen next.
+    /// The events that can occur next.
     pub fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for (index, sent) in self.sent.iter().enumerate().filter(|(_, s)| s.ended.is_none() && !s.given_up) {
@@ -372,12 +376,12 @@
         steps
     }
 
-    /// It has its answer and nothing that could still be written.
+    /// Whether the request has its answer and no attempt that could still be written.
     fn is_over(&self) -> bool {
         self.closed && self.sent.iter().all(|s| s.written.is_some() || s.ended.is_some() || s.given_up)
     }
 
-    /// Lets a thing happen.
+    /// Causes an event.
     pub fn take(&mut self, step: Step) {
         self.story.push(format!("{} ms: {step:?}", (self.now() - self.came) / MS));
         let client: u64 = self.client.id;
@@ -454,7 +458,7 @@
         self.sent[index].attempt.written.set(true);
     }
 
-    /// The rules on what is sent, and sent again.
+    /// Checks the rules for sending and repeating; returns the violation, if any.
     fn fault_of_writing(&self, index: usize) -> Option<&'static str> {
         let (now, sent) = (self.now(), &self.sent[index]);
         let others = || self.sent.iter().enumerate().filter(|(i, _)| *i != index).map(|(_, other)| other);
@@ -502,7 +506,7 @@
         self.director.message(Message::Ended(end));
     }
 
-    /// Takes in what the director has ordered and answered.
+    /// Processes the orders and answers that the director has given.
     fn look(&mut self) {
         for (member, mailbox) in &*self.mailboxes.borrow() {
             while let Ok(order) = mailbox.try_recv() {
@@ -533,7 +537,7 @@
         }
     }
 
-    /// The rules on final answers.
+    /// Checks the rules for final answers; returns the violation, if any.
     fn fault_of_answer(&self, verdict: &Verdict) -> Option<&'static str> {
         let now = self.now();
         if self.closed {
@@ -577,7 +581,8 @@
         }
     }
 
-    /// Lets the rest of its time pass; the first broken rule, with the story.
+    /// Lets the time pass until the request must have been answered. Returns the first violation, with the
+    /// sequence of events.
     pub fn run_out(mut self) -> Result<(), String> {
         let end = self.deadline() + ANSWER_GRACE;
         self.pass_to(end.max(self.now()));
@@ -585,7 +590,7 @@
         if !self.closed {
             self.breaks("no final answer in its time");
         }
-        // The module keeps an account of its own: the two must come to the same.
+        // The module keeps its own history of the attempts, which must agree with the director's.
         if self.counters.refusals(RefusalReason::Unproven) > 0 {
             self.breaks("the module would have refused what may have run");
         }
@@ -602,7 +607,7 @@
     Listed { member, address: SocketAddr::from((Ipv4Addr::LOCALHOST, 9)) }
 }
 
-/// A panic of the program's own is told with what led to it.
+/// If the program panics, prints the sequence of events that led to it.
 impl Drop for Play {
     fn drop(&mut self) {
         if std::thread::panicking() {
--- a/silverspindle/tests/copies.rs
+++ b/silverspindle/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of the router's own: purges, memory, the link.
+//! The router's own copies: purges, the memory limit, the time on the link.
 
 use silverspindle::clock::Stamp;
 use silverspindle::copies::{Copies, Key};
@@ -15,8 +15,8 @@
     Copies::new(room, 1000.0, 4000.0)
 }
 
-/// Guards against serving what was purged: what is held goes, and so does what comes in after the purge but
-/// was given out before it.
+/// Guards against serving purged content: a purge drops the kept copies, and copies that arrive after the
+/// purge but were issued before it are not kept.
 #[test]
 fn a_purge_drops_what_is_older_now_and_later() {
     for what in [Purged::Object(7), Purged::Group(3)] {
@@ -30,11 +30,12 @@
         copies.keep(8 * S, KEY, 3, b"new", at(6 * S + 1), b"x");
         assert_eq!(copies.get(&KEY).unwrap().tag, "new");
         copies.keep(9 * S, KEY, 3, b"late", at(6 * S), b"x");
-        assert_eq!(copies.get(&KEY).unwrap().tag, "new", "an older one does not replace it");
+        assert_eq!(copies.get(&KEY).unwrap().tag, "new", "an older copy does not replace it");
     }
 }
 
-/// Guards the memory: what was unused for longest goes, and what is too large is not kept.
+/// Guards the memory limit: the least recently used copy is evicted, and a copy larger than the limit is not
+/// kept.
 #[test]
 fn memory_holds_what_was_used_last() {
     let mut copies = copies(3000);
@@ -48,13 +49,13 @@
     assert_eq!(held, [1, 3]);
     let mut none = Copies::new(3000, 0.0, 0.0);
     none.keep(S, KEY, 0, b"t", at(S), b"x");
-    assert!(none.get(&KEY).is_none(), "without the link's figures none are kept");
+    assert!(none.get(&KEY).is_none(), "without the link's rates no copies are kept");
 }
 
 #[test]
 fn bytes_wait_behind_those_on_the_link() {
     let mut copies = copies(100_000);
-    assert_eq!(copies.wait(S, 1000), S, "one transfer at its own pace");
+    assert_eq!(copies.wait(S, 1000), S, "a single transfer at its own rate");
     (0..4).for_each(|_| copies.send(S, 1000));
     assert_eq!(copies.wait(S, 1000), S + S / 4);
     assert_eq!(copies.wait(3 * S, 1000), S);
--- a/silverspindle/tests/every_order.rs
+++ b/silverspindle/tests/every_order.rs
@@ -1,4 +1,5 @@
-//! Every order in which the events of one request can come, up to a depth, on the real director and module.
+//! Exhaustive test: every order in which the events of one request can occur, up to a depth, on the real
+//! director and module.
 
 mod common;
 
@@ -10,13 +11,14 @@
 use common::orders::{Case, Play, Repeats, Step};
 use serde_json::{Value, json};
 
-/// Events in a sequence at most. What the incident was needs three: an attempt is written, the copy is lost, the attempt fails.
+/// Maximum number of events in a sequence. The incident that this test guards against needs three: an attempt
+/// is written, the own copy is lost, the attempt fails.
 const DEPTH: usize = 5;
 
-/// Attempts that a request may have.
+/// Number of attempts that a request may have.
 const TRIES: usize = 3;
 
-/// The classes and limits that are played.
+/// The combinations of class and limits that are tested.
 fn cases() -> Vec<Case> {
     let mut cases = Vec::new();
     for repeats in [Repeats::Freely, Repeats::InItsCell, Repeats::Never] {
@@ -33,7 +35,8 @@
     Rc::new(Catalogue::read(settings.as_object().unwrap()))
 }
 
-/// Plays every sequence that goes on from this one; how many there were, or the first broken rule.
+/// Runs every sequence that continues this one. Returns how many there were, or a description of the first
+/// violation.
 fn explore(case: Case, program: &Rc<Catalogue>, path: &mut Vec<Step>, depth: usize) -> Result<u64, String> {
     let mut play = Play::start(case, program);
     path.iter().for_each(|step| play.take(*step));
@@ -48,7 +51,7 @@
     Ok(played)
 }
 
-/// The least depth at which a sequence breaks a rule, and its story.
+/// The least depth at which a sequence violates a rule, with the description of the violation.
 fn shallowest_fault(case: Case, program: &Value, most: usize) -> Option<(usize, String)> {
     let program = catalogue(program);
     let faults = (1..=most).map(|depth| (depth, explore(case, &program, &mut Vec::new(), depth).err()));
@@ -78,7 +81,7 @@
     println!("{all} sequences of up to {DEPTH} events in {:?}", began.elapsed());
 }
 
-/// Where a program without the guard on refusals is looked for.
+/// Depth up to which the tests search for a violation when a guard is disabled.
 const SHALLOW: usize = 3;
 
 #[test]
@@ -90,7 +93,8 @@
     }
 }
 
-/// A debug build goes without the guard that a variable names. The second is the fault of the incident, put back.
+/// Runs the test above with a guard disabled by an environment variable (debug builds only) and expects it to
+/// fail. The second guard, `own_copy_loss`, brings the fault of the incident back.
 #[test]
 fn a_refusal_without_proof_is_found() {
     for (guard, depth) in [("refusal_proof", 2), ("own_copy_loss", 3)] {
@@ -105,10 +109,12 @@
     }
 }
 
-/// A guard's name, the terms that hold, how the program is told weaker ones, and the rule that is broken then.
+/// Name of a guard, the case that is checked, the change that gives the program weaker settings, and the
+/// expected violation.
 type WithoutGuard = (&'static str, Case, fn(&mut Value), &'static str);
 
-/// A program that is told weaker terms than those that hold is one without the guard for them: it is found.
+/// A program with weaker settings than the checked case behaves like one without the guard for them; the
+/// checker has to find the violation.
 #[test]
 fn a_program_without_a_guard_is_found() {
     let case =
--- a/silverspindle/tests/purges.rs
+++ b/silverspindle/tests/purges.rs
@@ -1,5 +1,6 @@
-//! The purge log over relays, between processes of the program: killed, frozen, cut off and started again, judged from
-//! records, clients' answers and what staff were told; and hollow routers on real sockets.
+//! The purge log over relays, between processes of the program that are killed, frozen, cut off and
+//! restarted. The checker works from the processes' records, the answers to clients and the confirmations to
+//! staff. Also: hollow routers (processes that only follow the feed) on real sockets.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -39,8 +40,9 @@
     async_io::block_on(tasks.run(purges::play(&tasks, options))).unwrap()
 }
 
-/// A relay dies and another one stands still; a router is cut off for longer than its lease and acts on the safe reading;
-/// a zone's routers die together; a frame breaks in its middle, a link works one way.
+/// One relay is killed and another one is frozen; a router is cut off for longer than its lease and serves
+/// young copies only; the routers of a zone are killed together; a connection breaks in the middle of a
+/// frame; a link works in one direction only.
 #[test]
 fn routers_below_relays_that_die_and_stall_keep_to_order_stated_time_and_staffs_word() {
     let script = "\
@@ -59,7 +61,7 @@
     assert!(found.attempts.get("safe").is_some_and(|count| *count > 0), "{told}");
 }
 
-/// A source stands still, then dies; the coordinator falls silent; another source stays.
+/// A source is frozen, then killed; the coordinator goes silent; another source keeps running.
 #[test]
 fn sources_that_die_and_stall_and_a_silent_coordinator_break_no_promise() {
     let script = "0.5s 3s freeze s0\n4s 1.5s kill s0\n6s 3s silence\n";
@@ -68,8 +70,8 @@
     assert!(outcome.is_good(), "{}", purges::report(&options, &outcome));
 }
 
-/// The checker is no ornament: with routers that don't look at their confirmation's age, it finds what a router that was
-/// cut off acted on. Only a debug build can go without the guard.
+/// Tests the checker itself: with routers that ignore the age of their last confirmation, it finds the
+/// attempts that a cut off router sent on an outdated feed. The guard can be disabled in a debug build only.
 #[test]
 fn without_the_fence_the_records_show_the_breach() {
     if !cfg!(debug_assertions) {
@@ -83,8 +85,8 @@
     assert!(broken.findings.breaches.iter().all(|breach| breach.starts_with("n1 ")), "{told}");
 }
 
-/// Twenty hollow routers in two processes, each with its own certificate and connection: every purge comes to all of
-/// them, and staff are told so.
+/// Twenty hollow routers in two processes, each with its own certificate and connection: every purge reaches
+/// all of them, and this is confirmed to staff.
 #[test]
 fn hollow_routers_take_every_purge_and_staff_are_told() {
     let options = hollow::Options {
--- a/silverspindle/tests/refusals.rs
+++ b/silverspindle/tests/refusals.rs
@@ -1,17 +1,19 @@
-//! Refusals, held against the program as a process between a scripted cache and a client.
+//! Refusals by the program as a process between a scripted cache and a client.
 //!
-//! What users saw: reads of a class that may not simply be repeated were refused, which told their clients that trying again does
-//! no harm, in the very moment in which a cache ended an attempt with an error or without a whole answer. The cache may have run it.
+//! Guards against refusing a request that may have run. Reads of a class that may not simply be repeated were
+//! refused, which tells the client that a retry does no harm, right when a cache had ended an attempt with an
+//! error or an incomplete answer.
 //!
-//! Order of events: a cache's answer is kept as the router's own copy; the object is asked for again, the copy is offered to the module,
-//! but the link is busy and the request goes to a cache; meanwhile the copy is lost; the attempt fails; the module may not
-//! send it again and wants the copy served rather than nothing.
+//! How it came about: a cache's answer is kept as the router's own copy. The object is requested again and
+//! the copy is offered to the module, but the link is busy and the request goes to a cache. Meanwhile the
+//! copy is lost and the attempt fails. The module may not send the request again and asks for the copy to be
+//! served. The code that served the copy refused the request when the copy was missing, without checking
+//! whether its attempts may have run.
 //!
-//! Cause: the place that served the copy worded a refusal when it did not find it, without asking what the request's attempts had come to.
-//!
-//! Evidence: refusal and failed attempt lie in one millisecond, 56 to 74 ms after the attempt was sent, on classes whose copies have a
-//! fresh time, in a service where nothing was drained, ended or changed. A copy is not offered within 150 ms of its end, so in so short a
-//! wait it was not age that took it but room: others' answers displaced it. Each way to lose it is played here.
+//! In the incident the refusal followed the failed attempt within one millisecond, 56 to 74 ms after the
+//! attempt was sent, on classes whose copies have a fresh time, while nothing was drained, ended or changed.
+//! A copy is not offered within 150 ms of the end of its life, so it was not lost by age but evicted for
+//! other answers. The tests cover each way to lose it.
 
 mod common;
 
@@ -27,23 +29,26 @@
 use silverspindle::clock::Stamp;
 use silverspindle::thrift;
 
-/// Bytes of an answer, and of one transfer a second: together 12 s on the link, so that the module asks the caches first (over
-/// half the aim of [`AIM_MS`]) and still has the copy in time after an attempt that failed at once.
+/// Bytes of an answer, and rate of one transfer in bytes per second. An answer takes 12 s on the link, so
+/// that the module asks the caches first (over half the aim, [`AIM_MS`]) and can still serve the copy in time
+/// after an attempt that failed at once.
 const BODY: usize = 200_000;
 const FLOW: u64 = BODY as u64 / 12;
 const AIM_MS: u64 = 20_000;
-/// A copy is good for so long, fresh and past it.
+/// Total time for which a copy may be served, fresh and stale.
 const GOOD_FOR: Duration = Duration::from_secs(10);
-/// Answers that fill an eighth of the router's memory.
+/// Memory limit of the router.
 const MEMORY_MB: u64 = 16;
+/// Number of other answers that evict the copy: twice as many as fill an eighth of the router's memory.
 const DISPLACING: usize = 2 * MEMORY_MB as usize * 1_000_000 / 8 / BODY;
-/// So long after a purge the caches have dropped older copies by themselves; what is told of it later is late.
+/// Time after a purge by which the caches have dropped older copies themselves; a purge received later than
+/// that is late.
 const CLEARED_MS: u64 = 1000;
 
 const OBJECT: &str = "7f3a9c21e0b4d655";
 const TAG: &str = "4be0c1927d55a6f3";
 
-/// What becomes of the copy between the request's coming and the attempt's end.
+/// How the own copy is lost between the arrival of the request and the end of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
     Displaced,
@@ -59,12 +64,13 @@
     HalfAnAnswer,
 }
 
-/// The class of the requests here: a read that may run once, or again in one cell alone.
+/// The class of the requests: a read that may run only once, or be repeated in one cell only.
 fn delicate_class(effect: &str, group: &str) -> serde_json::Value {
     json!({"name": "page", "idempotency": effect, "group": group, "slo_ms": AIM_MS,
         "deadline_ms": 30000.0, "window_ms": 2000.0})
 }
 
+/// The router process with a cache, a coordinator and a client.
 struct Scene {
     router: Router,
     cache: Cache,
@@ -94,7 +100,7 @@
         Self { router, cache, coordinator: std::rc::Rc::new(coordinator), client, sequence: 0 }
     }
 
-    /// Sends a request for an object; its number.
+    /// Sends a request for an object and returns its sequence number.
     async fn ask(&mut self, object: &str) -> i32 {
         self.sequence += 1;
         let rid = format!("{:016x}", self.sequence);
@@ -105,7 +111,7 @@
         self.sequence
     }
 
-    /// Answers the next command with a copy that the origin gave out then.
+    /// Answers the next command with a copy that the origin issued at this time.
     async fn hit(&self, stamp: Stamp) {
         let (want, line) = self.cache.next().await;
         let named = format!("version={TAG},stamp={},why=warm", stamp.as_micros() / 1000);
@@ -129,7 +135,8 @@
                 let mut purge = u64::from_str_radix(OBJECT, 16).unwrap().to_be_bytes().to_vec();
                 purge.extend((stamp.as_micros() / 1000).to_be_bytes());
                 (&*self.coordinator).write_all(&event(2, 3, &purge)).await.unwrap();
-                // News are taken in order: where the list behind it is in, the purge is.
+                // Updates are applied in order: once the list sent after the purge is applied, the purge is,
+                // too.
                 let list = record(1, 0, self.cache.address);
                 (&*self.coordinator).write_all(&event(3, 2, &list)).await.unwrap();
                 assert!(self.router.lines.any(|line| line.contains("list: 1 entries")));
@@ -141,7 +148,7 @@
         }
     }
 
-    /// Ends an attempt that was read so that it may have run.
+    /// Ends an attempt that the cache has read, in a way that leaves open whether it ran.
     async fn end_attempt(&self, end: AttemptEnd) {
         let (want, line) = self.cache.next().await;
         match end {
@@ -160,18 +167,18 @@
     "x".repeat(BODY)
 }
 
-/// What a client is told when the copy is lost and the attempt may have run.
+/// The answer that the client gets when the copy is lost and the attempt may have run.
 fn answer_after(class: serde_json::Value, loss: Loss, end: AttemptEnd) -> (i32, Bytes) {
     run(async |tasks| {
         let mut scene = Scene::start(tasks, class.clone()).await;
-        // Old enough for a purge that is told late; an ageing one has a few seconds left.
+        // Old enough for a late purge; for `Loss::Aged` the copy has a few seconds left.
         let age = if loss == Loss::Displaced { Duration::ZERO } else { GOOD_FOR * 6 / 10 };
         let stamp = Stamp::from_micros(Stamp::now().as_micros() - age.as_micros() as u64);
         scene.ask(OBJECT).await;
         scene.hit(stamp).await;
         assert!(scene.next_answer().await.len() > BODY, "served");
         let sequence = scene.ask(OBJECT).await;
-        // The cache holds this attempt until the copy is lost.
+        // The cache keeps this attempt unanswered until the copy is lost.
         let held = scene.cache.next().await;
         scene.lose_the_copy(loss, stamp).await;
         scene.cache.put_back(held);
@@ -188,7 +195,8 @@
     answer == thrift::throttled(sequence, None) || advice(answer, sequence).is_some()
 }
 
-/// A copy that was good when the request came stays good for it, whatever comes in meanwhile: its age counts to then.
+/// A copy that was usable when the request came stays usable for it: it is not evicted, and its age is
+/// counted up to the request's arrival.
 #[test]
 fn a_copy_that_is_displaced_or_ages_while_an_attempt_is_out_still_answers() {
     let displaced = ENDS.map(|end| ("at_most_once", "all", Loss::Displaced, end));
@@ -200,7 +208,7 @@
     }
 }
 
-/// What was purged is not served, and what may have run is not refused: it has failed.
+/// A purged copy is not served, and a request that may have run is not refused: it fails.
 #[test]
 fn a_copy_that_is_purged_while_an_attempt_is_out_fails_the_request() {
     for end in ENDS {
