--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -357,8 +357,7 @@
     }
 
     fn request(&mut self, port: Rc<dyn Port>, seq: i32, call: Call) {
-        // Two open requests with one sequence number could not be told apart in the answers: the later one
-        // fails.
+        // A sequence number that is already open can't be answered twice: the later request fails.
         if self.by_client.contains_key(&(port.id(), seq)) {
             tracing::warn!(
                 client = port.id(),
