--- a/silverspindle/src/agreement/mod.rs
+++ b/silverspindle/src/agreement/mod.rs
@@ -36,10 +36,10 @@
 pub use store::Fault;
 use store::{Store, draw};
 
-use crate::guards::without;
+use crate::guards::is_disabled;
 use crate::links::Connector;
 use crate::steady::{DRIFT_PPM, steady};
-use crate::traffic::{Attempt, Guard, Members, Message};
+use crate::traffic::{AgreedRules, Attempt, Members, Message};
 
 /// Whoever leads answers by this topic with what it waits for with versions.
 pub const RULES_SIGHT: &str = "rules/sight";
@@ -58,7 +58,7 @@
 
 /// All on. Only a debug build, for the tests of the checker, lets one be taken out.
 fn guards() -> Guards {
-    Guards { fence: !without("fence"), quorum: !without("quorum"), dedupe: !without("dedupe") }
+    Guards { fence: !is_disabled("fence"), quorum: !is_disabled("quorum"), dedupe: !is_disabled("dedupe") }
 }
 
 /// For the tests of kills: a debug build dies at the write that it is told, `before N` or `after N`.
@@ -296,10 +296,10 @@
     }
 }
 
-impl Guard for Handle {
+impl AgreedRules for Handle {
     /// What it is done on goes to the records.
     fn allows(&self, attempt: &Attempt, to: MemberId, members: &Members) -> bool {
-        let source = attempt.terms.source;
+        let source = attempt.options.source;
         let allows = self.orders.as_ref().is_none_or(|orders| {
             // Alone, with a confirmation that has run out, it takes nothing new: others may have gone on. Unless staff
             // will have it hold all work up instead.
@@ -315,7 +315,7 @@
         allows
     }
 
-    fn over(&self, attempt: &Attempt, note: Option<Note>) {
+    fn attempt_ended(&self, attempt: &Attempt, note: Option<Note>) {
         if let Some(rules) = &self.rules {
             rules.over(attempt, note);
         }
@@ -331,7 +331,7 @@
         }
     }
 
-    fn version(&self) -> Option<String> {
+    fn rules_version(&self) -> Option<String> {
         Some(self.rules.as_ref()?.of().0.to_string())
     }
 }
--- a/silverspindle/src/agreement/orders.rs
+++ b/silverspindle/src/agreement/orders.rs
@@ -18,7 +18,7 @@
 use crate::clock;
 use crate::drain::Drain;
 use crate::steady::steady;
-use crate::traffic::{Board, Message, Noted};
+use crate::traffic::{MemberInfo, Message, RoutingState};
 
 /// The module's limits are looked at so often while there are orders.
 const LIMITS_EVERY: Micros = 1_000_000;
@@ -31,7 +31,7 @@
 #[derive(Clone)]
 pub struct Yard {
     /// The coordinator's members.
-    pub board: Rc<Board>,
+    pub board: Rc<RoutingState>,
     /// Hears what is withheld.
     pub director: Sender<Message>,
     /// The settings, and the classes' names.
@@ -52,16 +52,16 @@
         self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
     }
 
-    fn is_parent(&self, noted: &Noted) -> bool {
+    fn is_parent(&self, noted: &MemberInfo) -> bool {
         Some(noted.kind) == self.settings.parent_kind
     }
 
     /// Boxes and parents of one zone are two places, its routers a third.
-    fn place(&self, noted: &Noted) -> u32 {
+    fn place(&self, noted: &MemberInfo) -> u32 {
         (noted.zone * 3 + usize::from(self.is_parent(noted))) as u32
     }
 
-    fn is_cold(&self, noted: &Noted) -> bool {
+    fn is_cold(&self, noted: &MemberInfo) -> bool {
         let settings = &self.settings;
         let time = if self.is_parent(noted) { settings.parent_cold_time } else { settings.cold_time };
         noted.started > 0 && clock::now() < noted.started.saturating_add(time)
@@ -143,7 +143,7 @@
         withholds: Withholds,
     ) -> Self {
         let rules = Rules::new(terms.headroom, terms.most_out, lease, yard.longest(), drift_ppm);
-        let guards = Guards { clear: !super::without("clear"), ..Guards::default() };
+        let guards = Guards { clear: !super::is_disabled("clear"), ..Guards::default() };
         let alone = if terms.hold { Alone::Hold } else { Alone::Stop };
         Self {
             rules: Rules { alone, guards, ..rules },
@@ -271,7 +271,7 @@
         let Some(life) = self.life.get().filter(|_| !work.is_done()) else { return self.told.clear() };
         if now >= self.limits + LIMITS_EVERY {
             self.limits = now;
-            let _ = self.yard.director.try_send(Message::Limits);
+            let _ = self.yard.director.try_send(Message::PublishLimits);
         }
         let (unix, steady) = (clock::now(), steady());
         let members = self.yard.board.members();
--- a/silverspindle/src/agreement/rules.rs
+++ b/silverspindle/src/agreement/rules.rs
@@ -107,7 +107,7 @@
         }
         let rules = self.rules.borrow();
         let denied = |id: MemberId| u32::try_from(id.0).is_ok_and(|id| rules.deny_member.contains(&id));
-        let source = attempt.terms.source;
+        let source = attempt.options.source;
         if denied(to) || source.is_some_and(denied) {
             return false;
         }
@@ -135,8 +135,8 @@
         let [office, own] = limits.map(|limit| limit.map(|limit| limit * part));
         // Without a share to take the first attempt still looks whether the cache holds it.
         let look = || {
-            attempt.bare.set(attempt.first);
-            attempt.first
+            attempt.without_source.set(attempt.is_first);
+            attempt.is_first
         };
         if office.is_some_and(|rate| !self.office.borrow_mut().take(now, rate)) {
             return look();
@@ -165,11 +165,11 @@
         }
         if tokens & PARENT_TOKEN != 0
             && hit
-            && let Some(source) = attempt.terms.source
+            && let Some(source) = attempt.options.source
         {
             self.parents.borrow_mut().entry(source).or_default().put_back();
         }
-        if (tokens != 0 || attempt.bare.get()) && hit {
+        if (tokens != 0 || attempt.without_source.get()) && hit {
             let mut counts = self.counts.borrow_mut();
             counts.wanted = counts.wanted.saturating_sub(1);
         }
@@ -235,7 +235,7 @@
         least: u64,
         lines: BTreeMap<&'static str, usize>,
     ) -> Self {
-        let without = super::without;
+        let without = super::is_disabled;
         Self {
             name: name.to_owned(),
             life,
--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -29,13 +29,14 @@
 use crate::knowledge::Knowledge;
 use crate::skew::Skew;
 use crate::traffic::{
-    Account, Attempt, Call, Message, Notice, Port, Refusal, SafeToRetry, Shared, Terms, Verdict,
+    Account, Attempt, Call, ClientHandle, FetchOptions, Message, Notification, Refusal, SafeToRetry, Shared,
+    Verdict,
 };
 use crate::upstream::{Order, Peer};
 use crate::withheld::Withheld;
 
 /// Capacity of the director's mailbox, in messages.
-pub const MAILBOX: usize = 256;
+pub const MAILBOX_CAPACITY: usize = 256;
 /// Maximum number of messages handled in a row before the timers are checked again.
 const BATCH: usize = 64;
 /// Delay after a request's deadline at which the director itself fails a request that the module has left
@@ -47,7 +48,7 @@
 struct Open {
     call: Rc<Call>,
     came: Micros,
-    port: Rc<dyn Port>,
+    client: Rc<dyn ClientHandle>,
     seq: i32,
     account: Account,
     /// Tickets of its attempts in flight.
@@ -85,14 +86,14 @@
 const DENIED: u64 = 1000;
 
 /// Number of requests that have no final answer yet.
-pub type Owed = Cell<usize>;
+pub type PendingAnswers = Cell<usize>;
 
 /// The actor that runs the decision module.
 pub struct Director {
     module: bitternhold::Director,
     settings: Settings,
     shared: Rc<Shared>,
-    owed: Rc<Owed>,
+    pending_answers: Rc<PendingAnswers>,
     peers: HashMap<MemberId, Sender<Order>>,
     requests: HashMap<RequestId, Open>,
     /// Open requests by client connection and sequence number.
@@ -122,7 +123,7 @@
 
 impl Director {
     /// Creates a director whose module uses this random seed.
-    pub fn new(seed: u64, shared: Rc<Shared>, owed: Rc<Owed>, copies: Copies) -> Self {
+    pub fn new(seed: u64, shared: Rc<Shared>, pending_answers: Rc<PendingAnswers>, copies: Copies) -> Self {
         let settings = shared.catalogue.settings.clone();
         let all = shared.clone();
         Self {
@@ -130,7 +131,7 @@
             module: bitternhold::Director::new(seed, settings.clone()),
             settings,
             shared,
-            owed,
+            pending_answers,
             peers: HashMap::new(),
             requests: HashMap::new(),
             by_client: BTreeMap::new(),
@@ -155,7 +156,7 @@
     }
 
     /// Counts answers, refusals, retries and lost own copies in these counters.
-    pub fn count_in(&mut self, counters: Rc<Counters>) {
+    pub fn set_counters(&mut self, counters: Rc<Counters>) {
         self.counters = counters;
     }
 
@@ -165,7 +166,7 @@
     }
 
     fn now(&self) -> Micros {
-        self.shared.board.clock().now()
+        self.shared.state.clock().now()
     }
 
     /// Merges items received from another router. Purges and drains take effect at once; the rest becomes
@@ -204,7 +205,7 @@
 
     /// Runs until both mailboxes are closed. Feed updates are handled before everything else that is pending:
     /// a purge or a drain must not queue behind requests that would otherwise be sent without regard to it.
-    pub async fn run(mut self, news: Receiver<Notice>, mailbox: Receiver<Message>) {
+    pub async fn run(mut self, news: Receiver<Notification>, mailbox: Receiver<Message>) {
         loop {
             let due = self.next_timer();
             let wake = async {
@@ -214,10 +215,10 @@
                 };
                 Some(Next::Due)
             };
-            let told = async { news.recv().await.ok().map(Next::Notice) };
+            let told = async { news.recv().await.ok().map(Next::Notification) };
             let message = async { mailbox.recv().await.ok().map(|message| Next::Message(Box::new(message))) };
             match future::or(told, future::or(message, wake)).await {
-                Some(Next::Notice(told)) => self.notice(told),
+                Some(Next::Notification(told)) => self.notice(told),
                 Some(Next::Message(message)) => self.message(*message),
                 Some(Next::Due) => {}
                 None => return,
@@ -247,7 +248,7 @@
             }
             News::Members { complete, mut members } => {
                 let told: Vec<Member> = members.iter().map(|m| m.member.clone()).collect();
-                self.shared.board.note_members(complete, &told);
+                self.shared.state.note_members(complete, &told);
                 self.knowledge.iter_mut().for_each(|k| k.listed(complete, &members));
                 if complete {
                     let listed: Vec<MemberId> = members.iter().map(|m| m.member.id).collect();
@@ -273,7 +274,7 @@
     fn purged(&mut self, what: Purged, at: Stamp) {
         let now = self.now();
         let keep = self.settings.purge_done + self.settings.purge_grace;
-        self.shared.board.purged(now, what, keep);
+        self.shared.state.purged(now, what, keep);
         self.copies.purge(now, what, at);
         self.drop_offered(what, at);
         let (object, group) = match what {
@@ -285,7 +286,7 @@
 
     /// Retires the actor of a member that is gone.
     fn gone(&mut self, id: MemberId) {
-        self.shared.board.set_ready(id, false);
+        self.shared.state.set_ready(id, false);
         if let Some(peer) = self.peers.remove(&id) {
             self.post(&peer, Order::Retire);
         }
@@ -297,7 +298,7 @@
         if m.member.lifecycle == Lifecycle::Gone {
             return self.gone(id);
         }
-        self.shared.board.set_ready(id, m.member.lifecycle == Lifecycle::Ready);
+        self.shared.state.set_ready(id, m.member.lifecycle == Lifecycle::Ready);
         match self.peers.get(&id).cloned() {
             Some(peer) => {
                 self.next += 1;
@@ -318,21 +319,21 @@
     /// Handles a message.
     pub fn message(&mut self, message: Message) {
         match message {
-            Message::Request { port, seq, call } => self.request(port, seq, call),
-            Message::Forget { port, seq } => {
-                if let Some(id) = self.by_client.get(&(port, seq)).copied() {
+            Message::Request { client, seq, call } => self.request(client, seq, call),
+            Message::Forget { client, seq } => {
+                if let Some(id) = self.by_client.get(&(client, seq)).copied() {
                     self.left(id);
                 }
             }
-            Message::Left { port } => self.open_on(port).into_iter().for_each(|id| self.left(id)),
-            Message::GiveUp { port } => self.open_on(port).into_iter().for_each(|id| self.give_up(id)),
+            Message::Disconnected { client } => self.open_on(client).into_iter().for_each(|id| self.left(id)),
+            Message::GiveUp { client } => self.open_on(client).into_iter().for_each(|id| self.give_up(id)),
             Message::Ended(end) => self.ended(end),
-            Message::Give { reply } => {
+            Message::ExportKnowledge { reply } => {
                 let report = self.module.report(self.now());
                 let items = self.knowledge.as_mut().map_or_else(Vec::new, |k| k.give(report));
                 let _ = reply.try_send(items);
             }
-            Message::Learnt { transit, items } => self.learn(transit, items),
+            Message::ImportKnowledge { transit, items } => self.learn(transit, items),
             Message::HalfLives(half_lives) => {
                 self.knowledge.iter_mut().for_each(|k| k.reload(half_lives));
             }
@@ -340,15 +341,15 @@
                 let changed = self.withheld.set(out);
                 self.act_by(changed);
             }
-            Message::Room(room) => self.copies.set_room(room),
+            Message::CopyMemory(room) => self.copies.set_room(room),
             Message::Weights(weights) => {
                 let changed = self.withheld.weigh(weights);
                 self.act_by(changed);
             }
-            Message::Limits => {
+            Message::PublishLimits => {
                 let members = self.module.members_report(self.now());
                 let limits = members.into_iter().map(|m| (m.id, (m.limit, m.aside > 0)));
-                *self.shared.board.limits() = limits.collect();
+                *self.shared.state.limits() = limits.collect();
             }
             Message::Probed { member, status, elapsed, load } => {
                 self.event(Event::Probed { member, status, elapsed, load });
@@ -356,25 +357,25 @@
         }
     }
 
-    fn request(&mut self, port: Rc<dyn Port>, seq: i32, call: Call) {
+    fn request(&mut self, client: Rc<dyn ClientHandle>, seq: i32, call: Call) {
         // A sequence number that is already open can't be answered twice: the later request fails.
-        if self.by_client.contains_key(&(port.id(), seq)) {
+        if self.by_client.contains_key(&(client.id(), seq)) {
             tracing::warn!(
-                client = port.id(),
+                client = client.id(),
                 rid = call.rid,
                 "sequence number {seq} is already in use by an open request"
             );
-            return port.answer(seq, Verdict::Failed);
+            return client.answer(seq, Verdict::Failed);
         }
-        if self.shared.board.refuses(call.class, call.group) {
+        if self.shared.state.refuses(call.class, call.group) {
             self.counters.refused(RefusalReason::Agreed);
             let refusal = Refusal::new(SafeToRetry::unsent(call), &self.settings, DENIED);
-            return port.answer(seq, Verdict::Refused(refusal));
+            return client.answer(seq, Verdict::Refused(refusal));
         }
         self.next += 1;
         let id = RequestId(u128::from(self.next));
         let call = Rc::new(call);
-        self.by_client.insert((port.id(), seq), id);
+        self.by_client.insert((client.id(), seq), id);
         let now = self.now();
         let copy = self.offered_copy(now, &call);
         let own = copy.as_ref().map(|copy| Own {
@@ -384,9 +385,9 @@
         });
         let account = Account::new(self.settings.classes.get(call.class));
         let (out, closed) = (Vec::new(), false);
-        let open = Open { call: call.clone(), came: now, port, seq, account, out, own: copy, closed };
+        let open = Open { call: call.clone(), came: now, client, seq, account, out, own: copy, closed };
         self.requests.insert(id, open);
-        self.owed.set(self.owed.get() + 1);
+        self.pending_answers.set(self.pending_answers.get() + 1);
         self.wake(call.deadline + LAST_WORD, Due::Request(id));
         self.event(Event::Request(Request {
             own,
@@ -402,8 +403,8 @@
     }
 
     /// The open requests of a client's connection.
-    fn open_on(&self, port: u64) -> Vec<RequestId> {
-        self.by_client.range((port, i32::MIN)..=(port, i32::MAX)).map(|(_, id)| *id).collect()
+    fn open_on(&self, client: u64) -> Vec<RequestId> {
+        self.by_client.range((client, i32::MIN)..=(client, i32::MAX)).map(|(_, id)| *id).collect()
     }
 
     /// Sets a timer.
@@ -453,11 +454,11 @@
         match action {
             Action::Look { id, member, until } => {
                 let (keep, mode) = (Keep::Pass, FillMode::default());
-                self.send(id, member, until, Terms { source: None, keep, max_age: None, mode });
+                self.send(id, member, until, FetchOptions { source: None, keep, max_age: None, mode });
             }
             Action::Fetch { id, member, until, source, keep, max_age, mode } => {
                 let source = (source != member).then_some(source);
-                self.send(id, member, until, Terms { source, keep, max_age, mode });
+                self.send(id, member, until, FetchOptions { source, keep, max_age, mode });
             }
             Action::Cancel { id, attempt } => {
                 let out = self.requests.get(&id).map(|open| open.out.clone()).unwrap_or_default();
@@ -496,7 +497,7 @@
 
 /// What the run loop handles next.
 enum Next {
-    Notice(Notice),
+    Notification(Notification),
     Message(Box<Message>),
     Due,
 }
--- a/silverspindle/src/director/answers.rs
+++ b/silverspindle/src/director/answers.rs
@@ -12,10 +12,10 @@
     pub(super) fn close(&mut self, id: RequestId) -> bool {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.closed) else { return false };
         open.closed = true;
-        open.call.over.set(true);
+        open.call.finished.set(true);
         open.own = None;
-        self.by_client.remove(&(open.port.id(), open.seq));
-        self.owed.set(self.owed.get() - 1);
+        self.by_client.remove(&(open.client.id(), open.seq));
+        self.pending_answers.set(self.pending_answers.get() - 1);
         if open.out.is_empty() {
             self.requests.remove(&id);
         }
@@ -25,11 +25,12 @@
     /// Gives a request its final answer, unless it already has one.
     pub(super) fn answer(&mut self, id: RequestId, verdict: Verdict) {
         let Some(open) = self.requests.get(&id) else { return };
-        let (port, seq) = (open.port.clone(), open.seq);
+        let (client, seq) = (open.client.clone(), open.seq);
         let Call { rid, class, .. } = &*open.call;
         let spare = open.call.deadline.saturating_sub(self.now());
         // The versions of the agreed rules that are in force, if rules are on.
-        let rules = tracing::enabled!(tracing::Level::TRACE).then(|| self.shared.board.version()).flatten();
+        let rules =
+            tracing::enabled!(tracing::Level::TRACE).then(|| self.shared.state.rules_version()).flatten();
         let attempts = open.account.attempts();
         tracing::trace!(rid, class, attempts, spare, rules, "answer {}", verdict.name());
         if matches!(verdict, Verdict::Refused(_) | Verdict::Failed) && !open.closed {
@@ -37,11 +38,11 @@
             tracing::debug!(rid, class, may_have_run, "{}; attempts: {}", verdict.name(), open.account);
         }
         let took = self.now().saturating_sub(open.came);
-        let served = matches!(verdict, Verdict::Served(_) | Verdict::Holds);
-        self.shared.board.answered(served && took <= self.aim(&open.call));
+        let served = matches!(verdict, Verdict::Served(_) | Verdict::NotModified);
+        self.shared.state.answered(served && took <= self.aim(&open.call));
         if self.close(id) {
             self.counters.answered(verdict.name());
-            port.answer(seq, verdict);
+            client.answer(seq, verdict);
         }
     }
 
@@ -88,9 +89,9 @@
 
     /// Closes a request whose client has closed the connection or no longer waits for the answer.
     pub(super) fn left(&mut self, id: RequestId) {
-        let port = self.requests.get(&id).map(|open| open.port.clone());
+        let client = self.requests.get(&id).map(|open| open.client.clone());
         if self.close(id) {
-            port.iter().for_each(|port| port.drop_request());
+            client.iter().for_each(|client| client.drop_request());
             self.event(Event::ClientGone { id });
         }
     }
--- a/silverspindle/src/director/attempts.rs
+++ b/silverspindle/src/director/attempts.rs
@@ -7,7 +7,7 @@
 
 use super::{Director, Due, Out, spelt};
 use crate::invariant;
-use crate::traffic::{Attempt, Call, End, Terms, Verdict};
+use crate::traffic::{Attempt, AttemptEnd, Call, FetchOptions, Verdict};
 use crate::upstream::Order;
 
 /// An attempt at a cold member must be written within this part (the divisor) of the time for which an
@@ -18,9 +18,9 @@
 impl Director {
     /// Handles the end of an attempt: answers the request if it was served, and passes the outcome to the
     /// module.
-    pub(super) fn ended(&mut self, end: End) {
+    pub(super) fn ended(&mut self, end: AttemptEnd) {
         let Some(out) = self.attempts.remove(&end.ticket) else { return };
-        self.shared.board.over(&out.attempt, end.status == Status::Ok, end.note);
+        self.shared.state.over(&out.attempt, end.status == Status::Ok, end.note);
         let now = self.now();
         if let Some(open) = self.requests.get_mut(&out.id) {
             open.account.ended(now, end.ticket, end.status);
@@ -37,10 +37,10 @@
         }
         if end.status == Status::Ok {
             self.keep_copy(&out.attempt.call, &end);
-            let verdict = end.body.map_or(Verdict::Holds, Verdict::Served);
+            let verdict = end.body.map_or(Verdict::NotModified, Verdict::Served);
             self.answer(out.id, verdict);
         }
-        let End { status, note, waited, load, .. } = end;
+        let AttemptEnd { status, note, waited, load, .. } = end;
         let elapsed = self.now().saturating_sub(out.sent);
         let rid = &out.attempt.call.rid;
         tracing::trace!(rid, number = out.number, member = %spelt(out.member), elapsed, "end {status:?} {note:?}");
@@ -73,14 +73,14 @@
     /// Ends an attempt from the director's side, because its result is no longer needed.
     pub(super) fn drop_attempt(&mut self, ticket: u64, status: Status) {
         let Some(out) = self.attempts.get(&ticket) else { return };
-        out.attempt.dropped.set(true);
+        out.attempt.abandoned.set(true);
         self.post(&out.peer, Order::GiveUp(out.attempt.clone(), status == Status::Timeout));
-        self.ended(End::bare(ticket, status));
+        self.ended(AttemptEnd::without_details(ticket, status));
     }
 
     /// Whether a member started so recently that its load is still limited (slow start).
     pub(super) fn is_cold(&self, now: Micros, id: MemberId) -> bool {
-        let Some(noted) = self.shared.board.noted(id).filter(|noted| noted.started > 0) else { return false };
+        let Some(noted) = self.shared.state.noted(id).filter(|noted| noted.started > 0) else { return false };
         let time = match Some(noted.kind) {
             kind if kind == self.settings.origin_kind => 0,
             kind if kind == self.settings.parent_kind => self.settings.parent_cold_time,
@@ -90,47 +90,47 @@
     }
 
     /// Sends an attempt, or reports it to the module as never sent if it may not or can't be sent.
-    pub(super) fn send(&mut self, id: RequestId, member: MemberId, until: Micros, terms: Terms) {
+    pub(super) fn send(&mut self, id: RequestId, member: MemberId, until: Micros, options: FetchOptions) {
         let now = self.now();
         let most = self.settings.max_attempts;
         let peer = self.peers.get(&member).cloned();
-        let cold = [Some(member), terms.source].into_iter().flatten().any(|id| self.is_cold(now, id));
+        let cold = [Some(member), options.source].into_iter().flatten().any(|id| self.is_cold(now, id));
         let Some(open) = self.requests.get_mut(&id) else {
             invariant!(false, "an attempt for a request that is not open");
             return;
         };
         let number = open.account.attempts();
-        let until = if until == 0 { open.call.deadline } else { until.min(open.call.deadline) };
+        let deadline = if until == 0 { open.call.deadline } else { until.min(open.call.deadline) };
         let class = self.settings.classes.get(open.call.class);
         let window = class.filter(|c| c.effect == Effect::Deduplicated).map(|c| c.window);
         let repeat_by =
             window.zip(open.account.repeat_from()).map(|(window, first)| first.saturating_add(window));
         let window = self.settings.fall_window;
         let cold_by = (cold && window > 0).then(|| now + window / COLD_WAIT);
-        let write_by = [repeat_by, cold_by].into_iter().flatten().fold(until, Micros::min);
+        let write_by = [repeat_by, cold_by].into_iter().flatten().fold(deadline, Micros::min);
         self.next += 1;
         let ticket = self.next;
         let attempt = Rc::new(Attempt {
             ticket,
             call: open.call.clone(),
-            terms,
-            client: open.port.clone(),
-            until,
+            options,
+            client: open.client.clone(),
+            deadline,
             write_by,
-            line: Cell::new(0),
-            decided: self.shared.board.moment(),
+            connection: Cell::new(0),
+            purge_seq: self.shared.state.purge_seq(),
             written: Cell::new(false),
-            dropped: Cell::new(false),
-            first: number == 0,
-            bare: Cell::new(false),
+            abandoned: Cell::new(false),
+            is_first: number == 0,
+            without_source: Cell::new(false),
             tokens: Cell::new(0),
         });
         // As in the simulator, an attempt that may not or can't be sent any more ends as never sent.
-        let may = !open.closed && until > now && (most == 0 || number < most);
-        self.shared.board.begun(&attempt, member);
+        let may = !open.closed && deadline > now && (most == 0 || number < most);
+        self.shared.state.begun(&attempt, member);
         let peer = peer.filter(|p| may && p.try_send(Order::Send(attempt.clone())).is_ok());
         let Some(peer) = peer else {
-            self.shared.board.over(&attempt, false, None);
+            self.shared.state.over(&attempt, false, None);
             open.account.unsent(now, member);
             let closed = open.closed;
             self.backlog.push_back(Event::Outcome(Outcome {
@@ -147,7 +147,7 @@
             return;
         };
         let (source, held) =
-            (attempt.terms.source.map_or_else(String::new, spelt), attempt.terms.mode.held_only);
+            (attempt.options.source.map_or_else(String::new, spelt), attempt.options.mode.held_only);
         let Call { rid, class, object, part, size_kb, .. } = &*attempt.call;
         let member_name = spelt(member);
         if number > 0 {
@@ -168,6 +168,6 @@
         open.out.push(ticket);
         open.account.sent(now, member, &attempt);
         self.attempts.insert(ticket, Out { id, number, member, peer, sent: now, attempt });
-        self.wake(until, Due::Attempt(ticket));
+        self.wake(deadline, Due::Attempt(ticket));
     }
 }
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -7,7 +7,7 @@
 use crate::clock::Stamp;
 use crate::feed::Purged;
 use crate::steady::steady;
-use crate::traffic::Notice;
+use crate::traffic::Notification;
 
 /// Interval in which the module is told the maximum copy age while the feed's lease has run out, in
 /// microseconds. It has to be repeated because the age that the module was told keeps growing.
@@ -15,30 +15,30 @@
 
 impl Director {
     /// Handles an update of the list or of the purges.
-    pub fn notice(&mut self, notice: Notice) {
+    pub fn notice(&mut self, notice: Notification) {
         match notice {
-            Notice::News(news) => self.news(news, ListKind::Full),
-            Notice::PurgedBefore(at) => {
+            Notification::Update(news) => self.news(news, ListKind::Full),
+            Notification::PurgedBefore(at) => {
                 let what = Purged::Group(EVERY_GROUP);
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
                 self.purged(what, at);
             }
-            Notice::Batch { after, number } => self.shared.board.applied(Some(after), number),
-            Notice::Reset { number } => self.shared.board.applied(None, number),
+            Notification::Batch { after, number } => self.shared.state.applied(Some(after), number),
+            Notification::Reset { number } => self.shared.state.applied(None, number),
         }
     }
 
     /// Whether a copy that the origin issued at this time may be served as far as the feed's lease goes:
     /// always while the lease holds, and only if the copy is younger than the lease once it has run out.
     pub(super) fn is_young(&self, now: Micros, stamp: Stamp) -> bool {
-        self.shared.board.oldest().is_none_or(|oldest| self.skew.copy_age(now, stamp) < oldest)
+        self.shared.state.max_copy_age().is_none_or(|oldest| self.skew.copy_age(now, stamp) < oldest)
     }
 
     /// While the feed's lease has run out, tells the module that copies as old as the lease may be purged.
     /// This is repeated before the age has grown past the lease, because an attempt with a higher age limit
     /// is never written.
     pub(super) fn tell_stale(&mut self) {
-        let Some(oldest) = self.shared.board.oldest_asked() else {
+        let Some(oldest) = self.shared.state.max_cache_copy_age() else {
             self.told_stale = None;
             return;
         };
--- a/silverspindle/src/director/own_copies.rs
+++ b/silverspindle/src/director/own_copies.rs
@@ -11,14 +11,16 @@
 use crate::counters::CopyLoss;
 use crate::feed::Purged;
 use crate::guards::OWN_COPY_LOSS;
-use crate::traffic::{Call, End, Refusal, SafeToRetry, Verdict};
+use crate::traffic::{AttemptEnd, Call, Refusal, SafeToRetry, Verdict};
 
 impl Director {
     /// Keeps the copy that an answer carried, or records that a cache has confirmed the version that the
     /// router holds.
-    pub(super) fn keep_copy(&mut self, call: &Call, end: &End) {
+    pub(super) fn keep_copy(&mut self, call: &Call, end: &AttemptEnd) {
         let write = self.settings.classes.get(call.class).is_none_or(|c| c.write);
-        let Some((key, (tag, stamp))) = call.copy().zip(end.name.as_ref()).filter(|_| !write) else { return };
+        let Some((key, (tag, stamp))) = call.copy_key().zip(end.version.as_ref()).filter(|_| !write) else {
+            return;
+        };
         self.skew.note(self.now(), *stamp);
         match &end.body {
             Some(body) => self.copies.keep(self.now(), key, call.group, tag, *stamp, body),
@@ -29,7 +31,7 @@
     /// The router's own copy of the requested part, unless the feed's lease has run out and the copy is too
     /// old.
     pub(super) fn offered_copy(&self, now: Micros, call: &Call) -> Option<Rc<Copy>> {
-        let copy = self.copies.get(&call.copy()?)?;
+        let copy = self.copies.get(&call.copy_key()?)?;
         self.is_young(now, copy.stamp).then(|| copy.clone())
     }
 
@@ -39,11 +41,11 @@
     pub(super) fn serve_own_copy(&mut self, id: RequestId) -> bool {
         let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { return true };
         let (call, now) = (open.call.clone(), self.now());
-        let terms = self.settings.classes.get(call.class).filter(|c| !c.write);
+        let class = self.settings.classes.get(call.class).filter(|c| !c.write);
         let unproven = SafeToRetry::unproven(OWN_COPY_LOSS);
         let counts_to = if unproven.is_some() { now } else { open.came };
         let age = |copy: &Copy| self.skew.copy_age(counts_to, copy.stamp);
-        let good = |copy: &Copy| terms.is_some_and(|c| c.fresh == 0 || age(copy) < c.fresh + c.stale);
+        let good = |copy: &Copy| class.is_some_and(|c| c.fresh == 0 || age(copy) < c.fresh + c.stale);
         let loss = match &open.own {
             None => CopyLoss::Purged,
             Some(copy) if !good(copy) => CopyLoss::Aged,
@@ -51,8 +53,8 @@
             Some(copy) => {
                 let (copy, holds) = (copy.clone(), call.holds(&copy.tag));
                 self.copies.send(now, copy.bytes(holds));
-                call.copy().iter().for_each(|key| self.copies.touch(key));
-                let verdict = if holds { Verdict::Holds } else { Verdict::Served(copy.body.clone()) };
+                call.copy_key().iter().for_each(|key| self.copies.touch(key));
+                let verdict = if holds { Verdict::NotModified } else { Verdict::Served(copy.body.clone()) };
                 self.answer(id, verdict);
                 return true;
             }
@@ -70,7 +72,8 @@
     pub(super) fn drop_offered(&mut self, what: Purged, at: Stamp) {
         for open in self.requests.values_mut() {
             let (call, own) = (&open.call, &mut open.own);
-            *own = own.take().filter(|copy| !call.key().is_some_and(|key| copy.falls_to(key, what, at)));
+            *own =
+                own.take().filter(|copy| !call.object_key().is_some_and(|key| copy.falls_to(key, what, at)));
         }
     }
 }
--- a/silverspindle/src/distribution/actor.rs
+++ b/silverspindle/src/distribution/actor.rs
@@ -22,7 +22,7 @@
 use crate::feed::News;
 use crate::links::Connector;
 use crate::steady::steady;
-use crate::traffic::Notice;
+use crate::traffic::Notification;
 
 /// Events of the coordinator's that may wait to be taken in.
 const TOLD: usize = 256;
@@ -78,7 +78,7 @@
     moves: Receiver<SocketAddr>,
     /// Up to here the director has taken all in before the start.
     known: u64,
-    notices: Sender<Notice>,
+    notices: Sender<Notification>,
     connector: Connector,
     tasks: Rc<LocalExecutor<'static>>,
     out: Vec<Action>,
@@ -302,14 +302,14 @@
         for record in new {
             match translate::news(&record.entry) {
                 Ok(news) => {
-                    if !tell(&self.notices, Notice::News(news)).await {
+                    if !tell(&self.notices, Notification::Update(news)).await {
                         return false;
                     }
                 }
                 Err(e) => tracing::error!(number = record.number, "relay: a record is left out: {e}"),
             }
         }
-        tell(&self.notices, Notice::Batch { after, number }).await
+        tell(&self.notices, Notification::Batch { after, number }).await
     }
 
     async fn apply_reset(&mut self, reset: &Reset) -> bool {
@@ -322,7 +322,7 @@
     }
 }
 
-async fn tell(notices: &Sender<Notice>, notice: Notice) -> bool {
+async fn tell(notices: &Sender<Notification>, notice: Notification) -> bool {
     notices.send(notice).await.is_ok()
 }
 
--- a/silverspindle/src/distribution/lease.rs
+++ b/silverspindle/src/distribution/lease.rs
@@ -7,7 +7,7 @@
 
 use super::records::Records;
 use crate::steady::steady;
-use crate::traffic::{Attempt, Freshness, Lease};
+use crate::traffic::{Attempt, FeedFreshness, FeedLease};
 
 /// The feed, shared between the board and the actor.
 #[derive(Debug)]
@@ -69,11 +69,11 @@
     }
 }
 
-impl Lease for Feed {
-    fn look(&self) -> Freshness {
+impl FeedLease for Feed {
+    fn freshness(&self) -> FeedFreshness {
         let at = steady();
         let feed = self.guard.read(at);
-        Freshness { at, age: feed.age, oldest: feed.max_copy_age }
+        FeedFreshness { at, age: feed.age, max_copy_age: feed.max_copy_age }
     }
 
     fn applied(&self, after: u64, number: u64) {
@@ -90,7 +90,7 @@
         self.take(number);
     }
 
-    fn acted(&self, attempt: &Attempt, look: Freshness) {
+    fn attempt_written(&self, attempt: &Attempt, look: FeedFreshness) {
         if let Some(records) = &self.records {
             let mode = self.guard.read(look.at).mode;
             self.say(mode, look.age);
--- a/silverspindle/src/distribution/mod.rs
+++ b/silverspindle/src/distribution/mod.rs
@@ -29,10 +29,10 @@
 
 use crate::agreement::store::draw;
 use crate::feed::Event as Told;
-use crate::guards::without;
+use crate::guards::is_disabled;
 use crate::links::{Connector, Service};
 use crate::steady::{DRIFT_PPM, steady};
-use crate::traffic::{Board, Notice};
+use crate::traffic::{Notification, RoutingState};
 
 /// Connections besides the children's: staff, and children that come back before their old connection has ended.
 const ASKERS: usize = 16;
@@ -59,11 +59,11 @@
     /// Where tasks run.
     pub tasks: Rc<LocalExecutor<'static>>,
     /// Where the lease is asked for.
-    pub board: Rc<Board>,
+    pub board: Rc<RoutingState>,
     /// So long after a purge caches have dropped all older copies.
     pub cleared: Micros,
     /// The director.
-    pub notices: Sender<Notice>,
+    pub notices: Sender<Notification>,
     /// Where the coordinator listens.
     pub coordinator: SocketAddr,
     /// Tells where it listens from now on.
@@ -77,10 +77,10 @@
 /// All on. Only a debug build, for the tests of the checker, lets one be taken out.
 fn guards() -> Guards {
     Guards {
-        fence: !without("fence"),
-        lease: !without("lease"),
-        watermark: !without("watermark"),
-        order: !without("order"),
+        fence: !is_disabled("fence"),
+        lease: !is_disabled("lease"),
+        watermark: !is_disabled("watermark"),
+        order: !is_disabled("order"),
     }
 }
 
@@ -125,7 +125,7 @@
     };
     let (ping, pinged) = async_channel::bounded(1);
     let feed = Rc::new(Feed::new(node.feed_guard(), around.applied, ping, records));
-    around.board.lease(feed.clone(), around.cleared);
+    around.board.set_lease(feed.clone(), around.cleared);
     let (children, heard) = Children::new(conf.children + ASKERS, conf.within);
     let service: Option<Rc<dyn Service>> = match conf.role {
         RelayRole::Router => None,
--- a/silverspindle/src/distribution/records.rs
+++ b/silverspindle/src/distribution/records.rs
@@ -10,7 +10,7 @@
 use silverspindle_relay::Mode;
 
 use crate::steady::steady;
-use crate::traffic::{Attempt, Freshness};
+use crate::traffic::{Attempt, FeedFreshness};
 
 fn word(mode: Mode) -> &'static str {
     match mode {
@@ -70,10 +70,10 @@
     }
 
     /// An attempt goes out.
-    pub fn attempt(&self, number: u64, mode: Mode, attempt: &Attempt, look: Freshness) {
+    pub fn attempt(&self, number: u64, mode: Mode, attempt: &Attempt, look: FeedFreshness) {
         let call = &attempt.call;
         let fields = json!({"at": look.at, "number": number, "age": look.age, "mode": word(mode),
-            "limit": attempt.terms.max_age, "object": call.object.to_ascii_lowercase(), "group": call.group});
+            "limit": attempt.options.max_age, "object": call.object.to_ascii_lowercase(), "group": call.group});
         self.line("attempt", fields);
     }
 }
--- a/silverspindle/src/distribution/translate.rs
+++ b/silverspindle/src/distribution/translate.rs
@@ -8,7 +8,7 @@
 use crate::clock::{self, Stamp};
 use crate::feed::{self, Event, Listed, News};
 use crate::framing::Malformed;
-use crate::traffic::Notice;
+use crate::traffic::Notification;
 
 /// A frame of the coordinator's begins with its length and the event's number; the rest is what a record keeps.
 const HEAD: usize = 12;
@@ -48,18 +48,18 @@
 }
 
 /// What the director is told in place of records.
-pub fn notices(reset: &Reset) -> Vec<Notice> {
+pub fn notices(reset: &Reset) -> Vec<Notification> {
     let mut all = Vec::new();
     if !reset.list.is_empty() {
         match list(&reset.list) {
-            Ok(list) => all.push(Notice::News(list)),
+            Ok(list) => all.push(Notification::Update(list)),
             Err(e) => tracing::error!(number = reset.number, "relay: a list is left out: {e}"),
         }
     }
     // Where the purges are not known, all that is older than now may be purged.
     let before = Stamp::from_millis(reset.purged_before_ms).min(Stamp::from_micros(clock::now()));
-    all.push(Notice::PurgedBefore(before));
-    all.push(Notice::Reset { number: reset.number });
+    all.push(Notification::PurgedBefore(before));
+    all.push(Notification::Reset { number: reset.number });
     all
 }
 
--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -168,7 +168,7 @@
                 let _ = port.close.try_send(());
             } else if port.is_waiting() && drain.gives_up(now, seen) {
                 // Where its mailbox is full it is told at the next look.
-                let _ = self.director.try_send(Message::GiveUp { port: port.id });
+                let _ = self.director.try_send(Message::GiveUp { client: port.id });
             } else if seen.unwritten > 0 && drain.cuts(now, port.takes_nothing_since()) {
                 let _ = port.cut.try_send(CloseReason::Stalled);
             }
--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -21,7 +21,7 @@
 use crate::counters::{CloseReason, RefusalReason};
 use crate::drain::{Hold, Seen};
 use crate::framing::{Malformed, Messages};
-use crate::traffic::{Message, Port, Verdict};
+use crate::traffic::{ClientHandle, Message, Verdict};
 use crate::{clock, invariant, thrift};
 
 /// Read at a time: an idle connection holds no more.
@@ -91,7 +91,7 @@
     closes: Receiver<()>,
 }
 
-impl Port for Connection {
+impl ClientHandle for Connection {
     fn id(&self) -> u64 {
         self.id
     }
@@ -258,14 +258,14 @@
         // What was not written is not owed any more.
         self.owe(-(self.owed.get() as isize), -(self.held.get() as isize));
         if let Some(hurried) = hurried {
-            let _ = self.front.director.send(Message::Left { port: self.id }).await;
+            let _ = self.front.director.send(Message::Disconnected { client: self.id }).await;
             let at_most = self.front.drain.borrow().lingers(clock::now(), LINGER);
             throw_away(&stream, at_most, hurried).await;
         }
         drop(stream);
         self.front.closed(self.id);
         if !lingers {
-            let _ = self.front.director.send(Message::Left { port: self.id }).await;
+            let _ = self.front.director.send(Message::Disconnected { client: self.id }).await;
         }
     }
 
@@ -322,7 +322,7 @@
             self.used.set(arrived);
             let reply = match thrift::decode(&frame)? {
                 thrift::Message::Forget(seq) => {
-                    front.director.send(Message::Forget { port: self.id, seq }).await.map_err(closed)?;
+                    front.director.send(Message::Forget { client: self.id, seq }).await.map_err(closed)?;
                     None
                 }
                 thrift::Message::Unknown { oneway: true, .. } => None,
@@ -348,7 +348,7 @@
                             Some(reason) => Some(Reply::Verdict(seq, front.refuse(call, reason))),
                             None => {
                                 self.open.set(self.open.get() + 1);
-                                let request = Message::Request { port: self.clone(), seq, call };
+                                let request = Message::Request { client: self.clone(), seq, call };
                                 front.director.send(request).await.map_err(closed)?;
                                 None
                             }
@@ -481,7 +481,7 @@
             let [head, tail] = thrift::answer("serve", seq, body.len(), &[], true);
             (head, body, tail)
         }
-        Reply::Verdict(seq, Verdict::Holds) => {
+        Reply::Verdict(seq, Verdict::NotModified) => {
             let [head, tail] = thrift::answer("serve", seq, 0, &[("keep", "1")], true);
             (head, Bytes::new(), tail)
         }
--- a/silverspindle/src/front/request.rs
+++ b/silverspindle/src/front/request.rs
@@ -10,7 +10,7 @@
 use crate::counters::RefusalReason;
 use crate::feed::hex;
 use crate::thrift;
-use crate::traffic::{Call, Taken, Verdict};
+use crate::traffic::{BodyReservation, Call, Verdict};
 
 /// Longest text passed on, and the highest part of an object that is believed.
 const MOST_TEXT: usize = 128;
@@ -83,13 +83,13 @@
                 part: whole("block", MOST_PART)?,
                 group: whole("family", 255)?,
                 size_kb,
-                token,
-                cached: passed("cached")?,
+                idempotency_key: token,
+                client_tag: passed("cached")?,
                 deadline: arrived + budget,
-                taken: Taken::new(&self.taken, body.len()),
+                body_reservation: BodyReservation::new(&self.taken, body.len()),
                 body: body.clone(),
-                over: Cell::new(false),
-                lines: RefCell::default(),
+                finished: Cell::new(false),
+                used_connections: RefCell::default(),
             })
         };
         let call = read().ok_or(Verdict::Failed)?;
--- a/silverspindle/src/guards.rs
+++ b/silverspindle/src/guards.rs
@@ -8,6 +8,6 @@
 
 /// Whether the guard of this name is disabled: it is named by the environment variable
 /// `SILVERSPINDLE_WITHOUT`, and this is a debug build.
-pub(crate) fn without(guard: &str) -> bool {
+pub(crate) fn is_disabled(guard: &str) -> bool {
     cfg!(debug_assertions) && std::env::var("SILVERSPINDLE_WITHOUT").is_ok_and(|out| out == guard)
 }
--- a/silverspindle/src/knowledge/exchange.rs
+++ b/silverspindle/src/knowledge/exchange.rs
@@ -211,7 +211,7 @@
         let (reply, items) = async_channel::bounded(1);
         let gone = |_| io::Error::other("the router is ending");
         self.director
-            .send(Message::Give { reply })
+            .send(Message::ExportKnowledge { reply })
             .await
             .map_err(|_| io::Error::other("the router is ending"))?;
         let items = items.recv().await.map_err(gone)?;
@@ -276,7 +276,7 @@
             Ok(Answer::Whole { offer, items, transit }) => {
                 let n = items.len();
                 tracing::info!(peer = name, "learnt {n} items, up {} s", offer.up / 1_000_000);
-                let _ = self.director.send(Message::Learnt { transit, items }).await;
+                let _ = self.director.send(Message::ImportKnowledge { transit, items }).await;
                 Event::Answered { donor, up: offer.up }
             }
             Err(e) => {
--- a/silverspindle/src/knowledge/snapshots.rs
+++ b/silverspindle/src/knowledge/snapshots.rs
@@ -80,7 +80,7 @@
     director: &Sender<Message>,
 ) -> Option<io::Result<()>> {
     let (reply, items) = async_channel::bounded(1);
-    director.send(Message::Give { reply }).await.ok()?;
+    director.send(Message::ExportKnowledge { reply }).await.ok()?;
     let items: Vec<Item> = items.recv().await.ok()?;
     let (file, unix) = (file.to_owned(), Stamp::now().as_micros());
     let work = move || write(&file, &snapshot::encode(me, unix, items, most as usize));
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -19,7 +19,7 @@
 use crate::config::Config;
 use crate::coordinator::Coordinator;
 use crate::copies::Copies;
-use crate::director::{self, Director, Owed};
+use crate::director::{self, Director, PendingAnswers};
 use crate::distribution;
 use crate::drain::{self, Drain};
 use crate::front::{Front, LISTEN_BACKLOG, most_clients};
@@ -27,7 +27,7 @@
 use crate::knowledge::{Knowledge, keys::Tls, snapshots};
 use crate::links::Connector;
 use crate::management::Management;
-use crate::traffic::{Board, Descriptors, Message, Shared};
+use crate::traffic::{Descriptors, Message, RoutingState, Shared};
 use crate::upgrade::{Beside, part};
 use crate::{clock, invariant};
 
@@ -62,7 +62,7 @@
     drain: Rc<RefCell<Drain>>,
     /// This process's file beside a successor's, in `$TMPDIR`.
     beside: Option<Rc<Beside>>,
-    owed: Rc<Owed>,
+    pending_answers: Rc<PendingAnswers>,
     conf: RefCell<Conf>,
     hub: Option<Rc<Hub>>,
     director: Sender<Message>,
@@ -78,12 +78,12 @@
         let management = config.management.map(Async::<TcpListener>::bind).transpose()?;
         let address = listener.get_ref().local_addr()?;
         let catalogue = Rc::new(config.catalogue);
-        let (mailbox, messages) = async_channel::bounded(director::MAILBOX);
-        let (tell, news) = async_channel::bounded(director::MAILBOX);
+        let (mailbox, messages) = async_channel::bounded(director::MAILBOX_CAPACITY);
+        let (tell, news) = async_channel::bounded(director::MAILBOX_CAPACITY);
         let exchanges = conf.exchange.as_ref().map_or(0, exchange::descriptors);
         // The second address: its listener and the calls it holds at a time.
         let calls = config.management.map_or(0, |_| crate::management::MOST_CALLS + 1);
-        let board = Rc::new(Board::default());
+        let state = Rc::new(RoutingState::default());
         let agrees = conf.agreement.as_ref().map_or(0, agreement::descriptors);
         let relays = conf.relay.as_ref().map_or(0, distribution::descriptors);
         let others = OTHER_DESCRIPTORS + exchanges + agrees + relays + calls;
@@ -98,17 +98,18 @@
         let descriptors = Descriptors::new(peers);
         let shared = Rc::new(Shared {
             catalogue: catalogue.clone(),
-            board: board.clone(),
+            state: state.clone(),
             descriptors: descriptors.clone(),
             director: mailbox.clone(),
             tasks: tasks.clone(),
         });
-        let owed = Rc::new(Owed::default());
+        let pending_answers = Rc::new(PendingAnswers::default());
         let copies = Copies::new((config.memory / COPIES_PART).min(MOST_COPIES), config.flow, config.link);
         let on = conf.exchange.is_some() || conf.snapshot.is_some();
         let knowledge = on.then(|| Knowledge::new(&config.name, conf.half_lives, &catalogue.settings));
         let who = knowledge.as_ref().map(|k| (k.me, k.steady));
-        let mut director = Director::new(config.seed, shared, owed.clone(), copies).with_knowledge(knowledge);
+        let mut director =
+            Director::new(config.seed, shared, pending_answers.clone(), copies).with_knowledge(knowledge);
         let (last, known) = config.known;
         let cleared = catalogue.settings.purge_done + catalogue.settings.purge_grace;
         let of_relays = conf.relay.as_ref().map(|_| known.clone());
@@ -141,7 +142,7 @@
         let drain = Rc::new(RefCell::new(Drain::new().with_longest(longest)));
         let front =
             Front::new(catalogue.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
-        director.count_in(front.counters());
+        director.set_counters(front.counters());
         let agreed: Rc<RefCell<Option<agreement::Handle>>> = Rc::default();
         if let Some(terms) = conf.agreement.clone() {
             if let Some(lacks) = agreement::lacks(&conf, &config.name) {
@@ -150,27 +151,27 @@
             let instance = InstanceId::of(&config.name);
             let me = who.map_or(Source { instance, incarnation: clock::now() }, |(me, _)| me);
             let tls = keys_of(hub.as_deref(), &terms.files)?;
-            let (owed, own) = (owed.clone(), front.clone());
+            let (pending_answers, own) = (pending_answers.clone(), front.clone());
             let yard = agreement::Yard {
-                board: board.clone(),
+                board: state.clone(),
                 director: mailbox.clone(),
                 settings: catalogue.settings.clone(),
                 classes: catalogue.classes.clone(),
                 drain: drain.clone(),
                 nudge: front.nudger(),
-                owes: Rc::new(move || owed.get() > 0 || !own.flushed()),
+                owes: Rc::new(move || pending_answers.get() > 0 || !own.flushed()),
             };
             if terms.work.is_some() {
-                board.wait_for_orders();
+                state.enable_orders();
                 drain.borrow_mut().alone(terms.work.is_some_and(|work| !work.hold));
             }
             if terms.rules.is_some() {
-                board.wait();
+                state.require_rules();
                 drain.borrow_mut().alone(true);
             }
-            let (hub, board, all) = (hub.clone(), board.clone(), agreed.clone());
+            let (hub, state, all) = (hub.clone(), state.clone(), agreed.clone());
             let ready = move |handle: agreement::Handle| {
-                board.agree(Rc::new(handle.clone()));
+                state.set_rules(Rc::new(handle.clone()));
                 *all.borrow_mut() = Some(handle);
                 if let Some(hub) = &hub {
                     hub.agree(Rc::new(agreement::links::Current(all.clone())));
@@ -197,7 +198,7 @@
                     name: config.name.clone(),
                     connector: Connector { me, tls: keys_of(hub.as_deref(), &terms.files)? },
                     tasks: tasks.clone(),
-                    board: board.clone(),
+                    board: state.clone(),
                     cleared,
                     notices: tell,
                     coordinator: config.coordinator,
@@ -237,7 +238,7 @@
             front,
             drain,
             beside,
-            owed,
+            pending_answers,
             conf: RefCell::new(conf),
             hub,
             director: to_director,
@@ -293,7 +294,7 @@
         let mut said = clock::now();
         // The listener goes once nobody comes any more; what lies in its queue is taken, read and answered first.
         let nobody = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::LINGER);
-        while !self.drain.borrow().may_exit(clock::now(), self.owed.get(), self.front.settled()) {
+        while !self.drain.borrow().may_exit(clock::now(), self.pending_answers.get(), self.front.settled()) {
             if clock::now() >= nobody {
                 self.front.stop_accepting();
             }
@@ -302,7 +303,7 @@
                 let (connections, open) = self.front.held();
                 tracing::info!(
                     "ending: {} owed, {connections} clients' connections with {open} open",
-                    self.owed.get()
+                    self.pending_answers.get()
                 );
             }
             Timer::after(LOOK_AGAIN).await;
@@ -336,9 +337,9 @@
     let all = descriptors.all();
     let keep_to = |sockets_left: usize, memory_left: usize| {
         // Clients move from the one to the other, and hold their third together: the rest is the peers'.
-        descriptors.keep_to(all.saturating_sub(sockets - sockets_left).max(all / 4));
+        descriptors.set_limit(all.saturating_sub(sockets - sockets_left).max(all / 4));
         front.keep_to(memory_left);
-        let _ = director.try_send(Message::Room((memory_left / COPIES_PART).min(MOST_COPIES)));
+        let _ = director.try_send(Message::CopyMemory((memory_left / COPIES_PART).min(MOST_COPIES)));
     };
     tracing::info!("an older process serves beside this one: both keep to one limit");
     while let Some((held, bytes)) = beside.elders() {
@@ -408,7 +409,7 @@
     let run = async {
         loop {
             if !signals.next().await {
-                tracing::info!("ending on a signal: {} requests open", router.owed.get());
+                tracing::info!("ending on a signal: {} requests open", router.pending_answers.get());
                 break;
             }
             let (config, conf) = again();
--- a/silverspindle/src/traffic.rs
+++ b/silverspindle/src/traffic.rs
@@ -24,7 +24,7 @@
 use crate::{clock, resp};
 
 pub use account::{Account, Refusal, SafeToRetry};
-pub use board::{Board, Freshness, Guard, Lease, Members, Noted, Notice};
+pub use board::{AgreedRules, FeedFreshness, FeedLease, MemberInfo, Members, Notification, RoutingState};
 
 /// A request, independent of the protocol by which it came.
 #[derive(Debug)]
@@ -42,37 +42,37 @@
     /// Size of the part in KB, if the client stated it.
     pub size_kb: Option<f64>,
     /// Idempotency key, by which members drop repeats.
-    pub token: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Tag of the copy that the client holds.
-    pub cached: Option<String>,
+    pub client_tag: Option<String>,
     /// When the client stops waiting.
     pub deadline: Micros,
     /// Body of a write.
     pub body: Bytes,
     /// Accounts for the body's memory.
-    pub taken: Taken,
+    pub body_reservation: BodyReservation,
     /// The request has its final answer, or its client disconnected or no longer waits: no more attempts are
     /// written.
-    pub over: Cell<bool>,
+    pub finished: Cell<bool>,
     /// Connections to peers on which its id was used. The id is not used again on any of them: a second
     /// answer to an attempt that has ended would be taken for the answer to the next one.
-    pub lines: RefCell<Vec<(MemberId, u64)>>,
+    pub used_connections: RefCell<Vec<(MemberId, u64)>>,
 }
 
 impl Call {
     /// The object id as a number, as purges name it.
-    pub fn key(&self) -> Option<u64> {
+    pub fn object_key(&self) -> Option<u64> {
         hex(&self.object)
     }
 
     /// The key under which a copy that answers it is kept.
-    pub(crate) fn copy(&self) -> Option<copies::Key> {
-        Some((self.key()?, self.part, self.class))
+    pub(crate) fn copy_key(&self) -> Option<copies::Key> {
+        Some((self.object_key()?, self.part, self.class))
     }
 
     /// Whether the client holds the copy with this tag.
     pub(crate) fn holds(&self, tag: &[u8]) -> bool {
-        self.cached.as_ref().is_some_and(|own| own.as_bytes() == tag)
+        self.client_tag.as_ref().is_some_and(|tag_held| tag_held.as_bytes() == tag)
     }
 }
 
@@ -82,7 +82,7 @@
     /// Served, with the body.
     Served(Bytes),
     /// Served without a body: the copy that the client holds is current.
-    Holds,
+    NotModified,
     /// Refused: a retry does no harm.
     Refused(Refusal),
     /// Failed: the client can't conclude whether a retry does harm.
@@ -94,7 +94,7 @@
     pub fn name(&self) -> &'static str {
         match self {
             Verdict::Served(_) => "served",
-            Verdict::Holds => "holds",
+            Verdict::NotModified => "holds",
             Verdict::Refused(_) => "refused",
             Verdict::Failed => "failed",
         }
@@ -108,14 +108,14 @@
 
 /// Accounts for the memory of a write's body while the request is open.
 #[derive(Debug, Default)]
-pub struct Taken {
+pub struct BodyReservation {
     /// Bytes that all open writes take together.
     all: Rc<Cell<usize>>,
     /// Bytes of this one.
     own: usize,
 }
 
-impl Taken {
+impl BodyReservation {
     /// Adds this number of bytes to the total of all open writes, until dropped.
     pub fn new(all: &Rc<Cell<usize>>, own: usize) -> Self {
         all.set(all.get() + own);
@@ -123,14 +123,14 @@
     }
 }
 
-impl Drop for Taken {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.all.set(self.all.get() - self.own);
     }
 }
 
 /// The client connection that answers go to. A front for any protocol passes one with each request.
-pub trait Port: Debug {
+pub trait ClientHandle: Debug {
     /// Number of the connection, unique within the director.
     fn id(&self) -> u64;
     /// Takes the final answer to the request with this sequence number. Must not block.
@@ -147,7 +147,7 @@
     /// A request was received.
     Request {
         /// The connection that its answer goes to.
-        port: Rc<dyn Port>,
+        client: Rc<dyn ClientHandle>,
         /// Its sequence number on the connection.
         seq: i32,
         /// The request.
@@ -156,30 +156,30 @@
     /// The client no longer waits for a request.
     Forget {
         /// Number of the client's connection.
-        port: u64,
+        client: u64,
         /// The request's sequence number on it.
         seq: i32,
     },
     /// A client's connection ended.
-    Left {
+    Disconnected {
         /// Number of the connection.
-        port: u64,
+        client: u64,
     },
     /// All open requests of a client's connection get their final answers now, because the connection has to
     /// end.
     GiveUp {
         /// Number of the connection.
-        port: u64,
+        client: u64,
     },
     /// An attempt ended.
-    Ended(End),
+    Ended(AttemptEnd),
     /// Asks for all knowledge that can be shared with other routers.
-    Give {
+    ExportKnowledge {
         /// Receives the items.
         reply: Sender<Vec<Item>>,
     },
     /// Items of knowledge received from another router.
-    Learnt {
+    ImportKnowledge {
         /// Upper bound on the time that the items were in transit.
         transit: Micros,
         /// The items.
@@ -192,9 +192,9 @@
     /// Agreed weights of members, in per cent of the list's weights. Replaces the previous weights.
     Weights(BTreeMap<MemberId, u32>),
     /// New memory limit of the own copies, in bytes.
-    Room(usize),
+    CopyMemory(usize),
     /// Asks the director to publish the module's per-member limits, for the planning of maintenance work.
-    Limits,
+    PublishLimits,
     /// A probe ended.
     Probed {
         /// The member that was probed.
@@ -224,7 +224,7 @@
     }
 
     /// Limits the descriptors in use to this number. Descriptors already in use beyond it are kept.
-    pub fn keep_to(&self, most: usize) {
+    pub fn set_limit(&self, most: usize) {
         self.reserved.set(self.all.saturating_sub(most));
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// Whether enough descriptors are left to open connections that are not strictly necessary.
-    pub(crate) fn are_plenty(&self) -> bool {
+    pub(crate) fn has_spare(&self) -> bool {
         self.left.get() > self.all / 3 + self.reserved.get()
     }
 
@@ -258,7 +258,7 @@
 
 /// How an attempt is to be answered, as the module decided.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct FetchOptions {
     /// The member from which a miss is filled; `None`: a miss is not filled.
     pub source: Option<MemberId>,
     /// How long the cache is to keep the copy.
@@ -277,27 +277,27 @@
     /// The request.
     pub call: Rc<Call>,
     /// How it is to be answered.
-    pub terms: Terms,
+    pub options: FetchOptions,
     /// The client connection that waits for the answer.
-    pub client: Rc<dyn Port>,
+    pub client: Rc<dyn ClientHandle>,
     /// When the attempt times out.
-    pub until: Micros,
+    pub deadline: Micros,
     /// Latest time for its first byte to be written: the earliest of its timeout, the end of the window in
     /// which the request may be repeated, and, for a cold member, a short time after the decision.
     pub write_by: Micros,
     /// Number of the connection to the peer that is to write it; other connections skip it.
-    pub line: Cell<u64>,
+    pub connection: Cell<u64>,
     /// Number of purges that were known when it was decided. Later purges forbid writing it.
-    pub decided: u64,
+    pub purge_seq: u64,
     /// Its first byte has been written, so it may have run.
     pub written: Cell<bool>,
     /// The director has timed it out or cancelled it.
-    pub dropped: Cell<bool>,
+    pub abandoned: Cell<bool>,
     /// It is the first attempt of its request.
-    pub first: bool,
+    pub is_first: bool,
     /// Written without its source, because the router's share of a limit is used up; the cache may still hold
     /// a copy.
-    pub bare: Cell<bool>,
+    pub without_source: Cell<bool>,
     /// Rate limit tokens that it holds, as a set of bits: [`OFFICE_TOKEN`], [`PARENT_TOKEN`].
     pub tokens: Cell<u8>,
 }
@@ -314,7 +314,7 @@
         let class = names.classes.get(call.class).map_or("", String::as_str);
         // Times are rounded down, to a shorter wait and a younger copy, but not to 0, which would mean the
         // fresh time.
-        let ttl = (self.until.saturating_sub(clock::now()) / 1000).max(1);
+        let ttl = (self.deadline.saturating_sub(clock::now()) / 1000).max(1);
         let mut fields = format!("lane={class},name={},piece={},ttl={ttl}", call.object, call.part);
         let mut put = |name: &str, value: &str| {
             fields.push(',');
@@ -322,11 +322,11 @@
             fields.push('=');
             fields.push_str(value);
         };
-        if let Some(token) = &call.token {
-            put("dedupe", token);
+        if let Some(key) = &call.idempotency_key {
+            put("dedupe", key);
         }
-        let Terms { mut source, mut keep, max_age, mut mode } = self.terms.clone();
-        if self.bare.get() {
+        let FetchOptions { mut source, mut keep, max_age, mut mode } = self.options.clone();
+        if self.without_source.get() {
             (source, keep, mode) = (None, Keep::Pass, FillMode::default());
         }
         if let Some(MemberId(source)) = source {
@@ -345,7 +345,7 @@
         if !words.is_empty() {
             put("handle", &words.join("+"));
         }
-        if let Some(tag) = &call.cached {
+        if let Some(tag) = &call.client_tag {
             put("holds", tag);
         }
         resp::command(&[b"want", call.rid.as_bytes(), fields.as_bytes(), &call.body])
@@ -354,7 +354,7 @@
 
 /// The end of an attempt, with what its answer carried.
 #[derive(Debug)]
-pub struct End {
+pub struct AttemptEnd {
     /// The director's number for the attempt.
     pub ticket: u64,
     /// How it ended.
@@ -368,13 +368,13 @@
     /// The body, if it was served; `None` if the copy that the client holds is current.
     pub body: Option<Bytes>,
     /// Tag of the copy and the time at which the origin issued it, if the answer has them.
-    pub name: Option<(Bytes, Stamp)>,
+    pub version: Option<(Bytes, Stamp)>,
 }
 
-impl End {
+impl AttemptEnd {
     /// An end with a status only.
-    pub fn bare(ticket: u64, status: Status) -> Self {
-        Self { ticket, status, note: None, waited: None, load: None, body: None, name: None }
+    pub fn without_details(ticket: u64, status: Status) -> Self {
+        Self { ticket, status, note: None, waited: None, load: None, body: None, version: None }
     }
 }
 
@@ -384,7 +384,7 @@
     /// The settings.
     pub catalogue: Rc<Catalogue>,
     /// Latest state of the members, the purges and the agreed rules.
-    pub board: Rc<Board>,
+    pub state: Rc<RoutingState>,
     /// Budget of file descriptors for connections to peers.
     pub descriptors: Rc<Descriptors>,
     /// The director's mailbox.
@@ -403,12 +403,12 @@
     fn descriptors_keep_to_their_part_while_an_older_process_stands_beside() {
         let all = Descriptors::new(4);
         let held: Vec<_> = (0..3).filter_map(|_| all.take()).collect();
-        all.keep_to(2);
+        all.set_limit(2);
         assert!(all.take().is_none() && held.len() == 3);
         drop(held);
         let two: Vec<_> = (0..4).filter_map(|_| all.take()).collect();
         assert_eq!(two.len(), 2);
-        all.keep_to(4);
+        all.set_limit(4);
         assert!(all.take().is_some());
     }
 }
--- a/silverspindle/src/traffic/account.rs
+++ b/silverspindle/src/traffic/account.rs
@@ -11,7 +11,7 @@
 use bitternhold::{Class, DedupGroup, Effect, MemberId, Micros, Settings, Status};
 
 use super::{Attempt, Call};
-use crate::guards::{REFUSAL_PROOF, without};
+use crate::guards::{REFUSAL_PROOF, is_disabled};
 
 /// Proof that retrying a request does no harm.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 
     /// Creates a proof without grounds if this guard is disabled, for tests of the checkers.
     pub(crate) fn unproven(guard: &str) -> Option<Self> {
-        without(guard).then_some(Self(()))
+        is_disabled(guard).then_some(Self(()))
     }
 }
 
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -16,7 +16,7 @@
 
 /// A member as the coordinator lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Noted {
+pub struct MemberInfo {
     /// Index of its kind in the settings.
     pub kind: usize,
     /// Index of its zone in the settings.
@@ -28,51 +28,51 @@
 }
 
 /// The members on the coordinator's list.
-pub type Members = BTreeMap<MemberId, Noted>;
+pub type Members = BTreeMap<MemberId, MemberInfo>;
 
 /// The rules that the routers have agreed on, consulted right before acting.
-pub trait Guard: Debug {
+pub trait AgreedRules: Debug {
     /// Whether an attempt may be written to this member now.
     fn allows(&self, attempt: &Attempt, to: MemberId, members: &Members) -> bool;
     /// Called when an attempt has ended.
-    fn over(&self, attempt: &Attempt, note: Option<Note>);
+    fn attempt_ended(&self, attempt: &Attempt, note: Option<Note>);
     /// Whether a request of this class and group is refused.
     fn refuses(&self, class: usize, group: u64) -> bool;
     /// Called when a request was answered, within its aim or not.
     fn answered(&self, in_time: bool);
     /// The versions of the rules in force, for the log; `None` if rules are off.
-    fn version(&self) -> Option<String>;
+    fn rules_version(&self) -> Option<String>;
 }
 
 /// How fresh the feed of purges is at some time.
 #[derive(Clone, Copy, Debug)]
-pub struct Freshness {
+pub struct FeedFreshness {
     /// That time, on the steady clock.
     pub at: Micros,
     /// Age of the feed's last confirmation; `None` if there has been none.
     pub age: Option<Micros>,
     /// Set while the lease has run out: copies older than this may have been purged without this router's
     /// knowledge.
-    pub oldest: Option<Micros>,
+    pub max_copy_age: Option<Micros>,
 }
 
 /// The lease of the feed of purges, consulted right before acting.
-pub trait Lease: Debug {
+pub trait FeedLease: Debug {
     /// How fresh the feed is now.
-    fn look(&self) -> Freshness;
+    fn freshness(&self) -> FeedFreshness;
     /// Called when the director has applied a batch: the numbers after `after`, up to and including `number`.
     fn applied(&self, after: u64, number: u64);
     /// Called when the director has applied a state that replaces all numbers up to and including this one.
     fn reset(&self, number: u64);
     /// Called when an attempt is written that was checked against this freshness.
-    fn acted(&self, attempt: &Attempt, look: Freshness);
+    fn attempt_written(&self, attempt: &Attempt, freshness: FeedFreshness);
 }
 
 /// An update from the source of the list and the purges, delivered to the director in order.
 #[derive(Debug)]
-pub enum Notice {
+pub enum Notification {
     /// An event of the coordinator.
-    News(News),
+    Update(News),
     /// All copies issued before this time may have been purged.
     PurgedBefore(Stamp),
     /// The updates since the last `Batch` or `Reset` are the complete batch of these numbers.
@@ -89,21 +89,21 @@
     },
 }
 
-impl From<News> for Notice {
+impl From<News> for Notification {
     fn from(news: News) -> Self {
-        Self::News(news)
+        Self::Update(news)
     }
 }
 
 /// The latest state of the members, the purges and the agreed rules, for the final check of an attempt right
 /// before it is written.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct RoutingState {
     clock: Clock,
     /// The rules that the routers have agreed on, if rules are on.
-    agreed: RefCell<Option<Rc<dyn Guard>>>,
+    agreed: RefCell<Option<Rc<dyn AgreedRules>>>,
     /// The lease of the feed of purges, if it has one.
-    lease: RefCell<Option<Rc<dyn Lease>>>,
+    lease: RefCell<Option<Rc<dyn FeedLease>>>,
     /// Time after a purge by which the caches have dropped all older copies.
     cleared: Cell<Micros>,
     /// No attempt is written until the agreed rules are known here.
@@ -122,9 +122,9 @@
     told: Cell<u64>,
 }
 
-impl Board {
+impl RoutingState {
     /// An empty state that uses this clock.
-    pub fn by(clock: Clock) -> Self {
+    pub fn with_clock(clock: Clock) -> Self {
         Self { clock, ..Self::default() }
     }
 
@@ -134,26 +134,26 @@
     }
 
     /// Puts the agreed rules in force.
-    pub fn agree(&self, guard: Rc<dyn Guard>) {
+    pub fn set_rules(&self, guard: Rc<dyn AgreedRules>) {
         *self.agreed.borrow_mut() = Some(guard);
     }
 
     /// Sets the lease of the feed of purges. `cleared` is the time after a purge by which the caches have
     /// dropped all older copies.
-    pub fn lease(&self, lease: Rc<dyn Lease>, cleared: Micros) {
+    pub fn set_lease(&self, lease: Rc<dyn FeedLease>, cleared: Micros) {
         *self.lease.borrow_mut() = Some(lease);
         self.cleared.set(cleared);
     }
 
     /// While the feed's lease has run out: the maximum age of copies that may be served.
-    pub fn oldest(&self) -> Option<Micros> {
-        self.lease.borrow().as_ref()?.look().oldest
+    pub fn max_copy_age(&self) -> Option<Micros> {
+        self.lease.borrow().as_ref()?.freshness().max_copy_age
     }
 
     /// The same for copies of caches; `None` if the caches themselves have dropped older purged copies by
     /// that age.
-    pub fn oldest_asked(&self) -> Option<Micros> {
-        self.asked(self.oldest()?)
+    pub fn max_cache_copy_age(&self) -> Option<Micros> {
+        self.asked(self.max_copy_age()?)
     }
 
     fn asked(&self, oldest: Micros) -> Option<Micros> {
@@ -171,7 +171,7 @@
     }
 
     /// Forbids writing attempts until the agreed rules are known here.
-    pub fn wait(&self) {
+    pub fn require_rules(&self) {
         self.waits.set(true);
     }
 
@@ -188,25 +188,25 @@
     }
 
     /// The versions of the agreed rules in force, for the log; `None` if rules are off.
-    pub fn version(&self) -> Option<String> {
-        self.agreed.borrow().as_ref()?.version()
+    pub fn rules_version(&self) -> Option<String> {
+        self.agreed.borrow().as_ref()?.rules_version()
     }
 
     /// Turns orders of work on: open attempts are tracked by member, and no attempt is written until the
     /// orders are known here.
-    pub fn wait_for_orders(&self) {
-        self.wait();
+    pub fn enable_orders(&self) {
+        self.require_rules();
         *self.ledger.borrow_mut() = Some(Ledger::default());
     }
 
     /// Records an attempt that is in flight or waits to be written.
     pub(crate) fn begun(&self, attempt: &Attempt, to: MemberId) {
         if let Some(ledger) = &mut *self.ledger.borrow_mut() {
-            let members = [Some(to), attempt.terms.source].into_iter().flatten();
+            let members = [Some(to), attempt.options.source].into_iter().flatten();
             let members = members.map(|id| id.0 as u32).collect();
             // On the steady clock: setting the Unix clock must not end the time in which an attempt may be
             // open.
-            let (now, left) = (steady(), attempt.until.saturating_sub(self.clock.now()));
+            let (now, left) = (steady(), attempt.deadline.saturating_sub(self.clock.now()));
             ledger.begin(now, attempt.ticket, members, now + left);
         }
     }
@@ -215,10 +215,10 @@
     /// renews the copy.
     pub(crate) fn over(&self, attempt: &Attempt, answered: bool, note: Option<Note>) {
         if let Some(agreed) = self.agreed.borrow().as_ref() {
-            agreed.over(attempt, note);
+            agreed.attempt_ended(attempt, note);
         }
         if let Some(ledger) = &mut *self.ledger.borrow_mut() {
-            let whole = !attempt.written.get() || (answered && !attempt.terms.mode.renew);
+            let whole = !attempt.written.get() || (answered && !attempt.options.mode.renew);
             ledger.end(steady(), attempt.ticket, whole);
         }
     }
@@ -244,20 +244,20 @@
                 Lifecycle::Gone => drop(all.remove(&m.id)),
                 state => {
                     let ready = state == Lifecycle::Ready;
-                    let noted = Noted { kind: m.kind, zone: m.zone, ready, started: m.started };
+                    let noted = MemberInfo { kind: m.kind, zone: m.zone, ready, started: m.started };
                     all.insert(m.id, noted);
                 }
             }
         }
     }
 
-    /// The members on the coordinator's list; see [`Board::note_members`].
+    /// The members on the coordinator's list; see [`RoutingState::note_members`].
     pub fn members(&self) -> Members {
         self.members.borrow().clone()
     }
 
     /// A member's entry in the coordinator's list.
-    pub fn noted(&self, id: MemberId) -> Option<Noted> {
+    pub fn noted(&self, id: MemberId) -> Option<MemberInfo> {
         self.members.borrow().get(&id).copied()
     }
 
@@ -285,7 +285,7 @@
 
     /// Number of purges received so far. Stored with a decision, so that later purges can be told from
     /// earlier ones.
-    pub fn moment(&self) -> u64 {
+    pub fn purge_seq(&self) -> u64 {
         self.told.get()
     }
 
@@ -294,25 +294,25 @@
     /// their cache or their source was drained, or their object was purged.
     pub fn allows(&self, attempt: &Attempt, to: MemberId) -> bool {
         let purges = self.purges.borrow();
-        let since = |what| purges.get(&what).is_some_and(|(told, _)| *told > attempt.decided);
-        let look = self.lease.borrow().as_ref().map(|lease| lease.look());
-        let oldest = look.and_then(|look| self.asked(look.oldest?));
+        let since = |what| purges.get(&what).is_some_and(|(told, _)| *told > attempt.purge_seq);
+        let look = self.lease.borrow().as_ref().map(|lease| lease.freshness());
+        let oldest = look.and_then(|look| self.asked(look.max_copy_age?));
         let allows = self.clock.now() < attempt.write_by
-            && !attempt.call.over.get()
+            && !attempt.call.finished.get()
             && !attempt.client.is_gone()
             && self.is_ready(to)
-            && attempt.terms.source.is_none_or(|source| self.is_ready(source))
+            && attempt.options.source.is_none_or(|source| self.is_ready(source))
             && !since(Purged::Group(attempt.call.group))
             && !since(Purged::Group(EVERY_GROUP))
-            && !attempt.call.key().is_some_and(|key| since(Purged::Object(key)))
+            && !attempt.call.object_key().is_some_and(|key| since(Purged::Object(key)))
             // An attempt decided before the feed's lease ran out asks for copies that may have been purged.
-            && oldest.is_none_or(|oldest| attempt.terms.max_age.is_some_and(|age| age <= oldest));
+            && oldest.is_none_or(|oldest| attempt.options.max_age.is_some_and(|age| age <= oldest));
         let allows = match self.agreed.borrow().as_ref() {
             Some(agreed) => allows && agreed.allows(attempt, to, &self.members.borrow()),
             None => allows && !self.waits.get(),
         };
         if let Some((lease, look)) = self.lease.borrow().as_ref().zip(look).filter(|_| allows) {
-            lease.acted(attempt, look);
+            lease.attempt_written(attempt, look);
         }
         allows
     }
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -16,7 +16,7 @@
 use crate::clock;
 use crate::framing::Messages;
 use crate::resp::{self, Word};
-use crate::traffic::{Attempt, Descriptor, End, Message, Shared};
+use crate::traffic::{Attempt, AttemptEnd, Descriptor, Message, Shared};
 
 /// Orders that may wait for an actor; a director that finds it full counts the attempt as never sent.
 pub const MAILBOX: usize = 256;
@@ -192,7 +192,7 @@
             Order::Retire => {
                 self.retired = true;
                 for attempt in self.close_lines() {
-                    self.end(End::bare(attempt.ticket, Status::Moot)).await;
+                    self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
                 }
             }
             Order::Up(line, socket) => {
@@ -202,15 +202,15 @@
             }
             Order::Answer(line, frame) => self.answer(line, frame).await,
             // It has moved to another connection meanwhile, which says what becomes of it.
-            Order::Unwritten(line, attempt) if attempt.line.get() != line => {}
+            Order::Unwritten(line, attempt) if attempt.connection.get() != line => {}
             Order::Unwritten(line, attempt) => {
                 // Its id never stood there: where it is sent anew, this connection, up by now, is the one to take.
-                attempt.call.lines.borrow_mut().retain(|stood| *stood != (self.id, line));
+                attempt.call.used_connections.borrow_mut().retain(|stood| *stood != (self.id, line));
                 let own = |s: &Stream| matches!(s, Stream::Attempt(a, _) if a.ticket == attempt.ticket);
                 if let Some(line) = self.lines.get_mut(&line) {
                     line.streams.retain(|_, stream| !own(stream));
                 }
-                self.end(End::bare(attempt.ticket, Status::Moot)).await;
+                self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
             }
             Order::Down(line, why) => self.down(line, &why).await,
         }
@@ -224,7 +224,7 @@
             line.closing = true;
             line.streams.retain(|_, stream| match stream {
                 Stream::Attempt(attempt, _) if !attempt.written.get() => {
-                    attempt.line.set(0);
+                    attempt.connection.set(0);
                     unwritten.push(attempt.clone());
                     false
                 }
@@ -240,14 +240,16 @@
         self.mailbox.close();
         while let Ok(order) = self.mailbox.try_recv() {
             match order {
-                Order::Send(attempt) => self.end(End::bare(attempt.ticket, Status::Moot)).await,
+                Order::Send(attempt) => {
+                    self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await
+                }
                 Order::Probe => self.probed(Status::ConnectFailed, 0, None).await,
                 _ => {}
             }
         }
     }
 
-    async fn end(&self, end: End) {
+    async fn end(&self, end: AttemptEnd) {
         let _ = self.shared.director.send(Message::Ended(end)).await;
     }
 
@@ -267,7 +269,7 @@
         let takes = |n: u64, l: &Line| {
             l.streams.len() < streams
                 && (!l.streams.is_empty() || now.saturating_sub(l.last_used) < idle)
-                && !attempt.is_some_and(|a| a.call.lines.borrow().contains(&(me, n)))
+                && !attempt.is_some_and(|a| a.call.used_connections.borrow().contains(&(me, n)))
                 && !l.silent
                 && !l.closing
                 && !l.streams.contains_key(id)
@@ -278,7 +280,7 @@
         let able = self.lines.iter().filter(|(n, l)| takes(**n, l));
         let found = able.min_by_key(|(n, l)| (l.streams.len(), !l.up, **n));
         let found = found.map(|(n, l)| (*n, l.streams.len()));
-        let plenty = self.shared.descriptors.are_plenty();
+        let plenty = self.shared.descriptors.has_spare();
         let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.catalogue.handshake_price;
         match found {
             Some((n, streams)) if streams == 0 || !plenty || cheaper(streams) => return Some(n),
@@ -323,17 +325,17 @@
     async fn send(&mut self, attempt: Rc<Attempt>) {
         let id = Bytes::copy_from_slice(attempt.call.rid.as_bytes());
         let line =
-            if attempt.dropped.get() || self.retired { None } else { self.line_for(&id, Some(&attempt)) };
+            if attempt.abandoned.get() || self.retired { None } else { self.line_for(&id, Some(&attempt)) };
         let Some((number, line)) = line.and_then(|n| Some((n, self.lines.get_mut(&n)?))) else {
-            return self.end(End::bare(attempt.ticket, Status::Moot)).await;
+            return self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
         };
         let now = clock::now();
         line.last_used = now;
-        attempt.line.set(number);
-        attempt.call.lines.borrow_mut().push((self.id, number));
+        attempt.connection.set(number);
+        attempt.call.used_connections.borrow_mut().push((self.id, number));
         match line.commands.try_send(Command::Want(attempt.clone())) {
             Ok(()) => drop(line.streams.insert(id, Stream::Attempt(attempt, now))),
-            Err(_) => self.end(End::bare(attempt.ticket, Status::Moot)).await,
+            Err(_) => self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await,
         }
     }
 
@@ -423,7 +425,16 @@
                 let (status, note) = (answer.word.status(), answer.note);
                 let (waited, load) = (answer.waited, answer.load);
                 let name = answer.name.map(|(tag, stamp)| (frame.slice_ref(tag), stamp));
-                self.end(End { ticket: attempt.ticket, status, note, waited, load, body, name }).await;
+                self.end(AttemptEnd {
+                    ticket: attempt.ticket,
+                    status,
+                    note,
+                    waited,
+                    load,
+                    body,
+                    version: name,
+                })
+                .await;
             }
         }
     }
@@ -451,14 +462,14 @@
                     self.probed(status, elapsed, None).await;
                 }
                 Stream::Attempt(a, _) if a.written.get() => {
-                    self.end(End::bare(a.ticket, Status::Reset)).await;
+                    self.end(AttemptEnd::without_details(a.ticket, Status::Reset)).await;
                 }
                 Stream::Attempt(a, _) if line.up => self.send(a).await,
                 // Nothing was written, so nothing ran, whatever the error says; but a want of this machine's own is no
                 // word on the member.
                 Stream::Attempt(a, _) => {
                     let status = if is_own_want(why) { Status::Moot } else { Status::ConnectFailed };
-                    self.end(End::bare(a.ticket, status)).await;
+                    self.end(AttemptEnd::without_details(a.ticket, status)).await;
                 }
             }
         }
@@ -557,10 +568,10 @@
         attempt: &Rc<Attempt>,
     ) -> io::Result<Option<(Vec<u8>, usize)>> {
         loop {
-            if attempt.dropped.get() || attempt.line.get() != self.line {
+            if attempt.abandoned.get() || attempt.connection.get() != self.line {
                 return Ok(None);
             }
-            if !self.shared.board.allows(attempt, self.peer) {
+            if !self.shared.state.allows(attempt, self.peer) {
                 self.actor.send(Order::Unwritten(self.line, attempt.clone())).await.map_err(gone)?;
                 return Ok(None);
             }
--- a/silverspindle/tests/actors.rs
+++ b/silverspindle/tests/actors.rs
@@ -15,7 +15,7 @@
 use silverspindle::feed::Purged;
 use silverspindle::front::Front;
 use silverspindle::thrift;
-use silverspindle::traffic::{Board, Message, Verdict};
+use silverspindle::traffic::{Message, RoutingState, Verdict};
 use silverspindle::upstream::Order;
 
 #[test]
@@ -40,20 +40,20 @@
 /// of writing it ends as never sent, and the cache never sees it.
 #[test]
 fn what_was_overtaken_by_news_is_never_sent() {
-    let news: [fn(&Board); 4] = [
-        |board| board.set_ready(PEER, false),
-        |board| board.set_ready(SOURCE, false),
-        |board| board.purged(clock::now(), Purged::Group(17), 6_000_000),
-        |board| board.purged(clock::now(), Purged::Object(0x7f3a9c21e0b4d655), 6_000_000),
+    let news: [fn(&RoutingState); 4] = [
+        |state| state.set_ready(PEER, false),
+        |state| state.set_ready(SOURCE, false),
+        |state| state.purged(clock::now(), Purged::Group(17), 6_000_000),
+        |state| state.purged(clock::now(), Purged::Object(0x7f3a9c21e0b4d655), 6_000_000),
     ];
     for tell in news {
         run(async |tasks| {
             let world = World::new(tasks, 9);
             let peer = world.peer();
             peer.try_send(Order::Send(world.attempt(1, "00000000000000a1"))).unwrap();
-            tell(&world.shared.board);
+            tell(&world.shared.state);
             assert_eq!(world.end().await, (1, Status::Moot));
-            [PEER, SOURCE].into_iter().for_each(|id| world.shared.board.set_ready(id, true));
+            [PEER, SOURCE].into_iter().for_each(|id| world.shared.state.set_ready(id, true));
             // A decision made after the news goes out, as the first thing the cache reads.
             peer.try_send(Order::Send(world.attempt(2, "00000000000000a2"))).unwrap();
             assert_eq!(world.cache.next().await.0[1], "00000000000000a2");
@@ -73,7 +73,7 @@
         let (_, one) = world.cache.next().await;
         peer.send(Order::Send(world.attempt(2, "00000000000000a1"))).await.unwrap();
         let (_, two) = world.cache.next().await;
-        first.dropped.set(true);
+        first.abandoned.set(true);
         peer.send(Order::GiveUp(first, false)).await.unwrap();
         assert_eq!(world.cache.next().await.0[0], "never_mind");
         peer.send(Order::Send(world.attempt(3, "00000000000000a1"))).await.unwrap();
@@ -171,10 +171,10 @@
         let other = world.attempt(9, "00000000000000a9");
         peer.send(Order::Send(other.clone())).await.unwrap();
         let (_, idle) = world.cache.next().await;
-        other.dropped.set(true);
+        other.abandoned.set(true);
         peer.send(Order::GiveUp(other, false)).await.unwrap();
         assert_eq!(world.cache.next().await.0[0], "never_mind");
-        first.dropped.set(true);
+        first.abandoned.set(true);
         peer.send(Order::GiveUp(first, true)).await.unwrap();
         assert_eq!(world.cache.next().await.0[0], "never_mind");
         peer.send(Order::Send(world.attempt(2, "00000000000000a2"))).await.unwrap();
@@ -244,10 +244,10 @@
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
         let (slow, good) = (Client::connect(tasks, address).await, Client::connect(tasks, address).await);
         slow.send(&serve(1, &page("00000000000000a1"), b"")).await;
-        let Message::Request { port: first, .. } = world.ends.recv().await.unwrap() else { panic!() };
+        let Message::Request { client: first, .. } = world.ends.recv().await.unwrap() else { panic!() };
         good.send(&serve(7, &page("00000000000000a2"), b"")).await;
-        let Message::Request { port, seq, .. } = world.ends.recv().await.unwrap() else { panic!() };
-        port.answer(seq, Verdict::Served(Bytes::from_static(b"small")));
+        let Message::Request { client: handle, seq, .. } = world.ends.recv().await.unwrap() else { panic!() };
+        handle.answer(seq, Verdict::Served(Bytes::from_static(b"small")));
         first.answer(1, Verdict::Served(Bytes::from(vec![0; 1001])));
         assert_eq!(good.next().await.unwrap(), served(7, b"small"));
         assert_eq!(slow.next().await, None);
@@ -275,8 +275,8 @@
         while front.backlog() < 1_500_000 {
             seq += 1;
             ask(seq);
-            let (port, ..) = world.request().await;
-            port.answer(seq, Verdict::Served(body.clone()));
+            let (handle, ..) = world.request().await;
+            handle.answer(seq, Verdict::Served(body.clone()));
             future::yield_now().await;
         }
         ask(seq + 1);
@@ -354,13 +354,13 @@
         }
         client.send(&forget(2)).await;
         assert!(advice(&client.next().await.unwrap(), 65).is_some());
-        let mut ports = Vec::new();
+        let mut handles = Vec::new();
         for _ in 0..64 {
-            let Message::Request { port, .. } = world.ends.recv().await.unwrap() else { panic!() };
-            ports.push(port);
+            let Message::Request { client: handle, .. } = world.ends.recv().await.unwrap() else { panic!() };
+            handles.push(handle);
         }
         let Message::Forget { seq: 2, .. } = world.ends.recv().await.unwrap() else { panic!() };
-        ports[0].answer(5, Verdict::Failed);
+        handles[0].answer(5, Verdict::Failed);
         assert_eq!(client.next().await.unwrap(), silverspindle::thrift::broken(5));
         client.send(&request(66)).await;
         let Message::Request { seq: 66, .. } = world.ends.recv().await.unwrap() else { panic!() };
--- a/silverspindle/tests/common/orders.rs
+++ b/silverspindle/tests/common/orders.rs
@@ -19,7 +19,8 @@
 use silverspindle::director::Director;
 use silverspindle::feed::{Listed, News, Purged};
 use silverspindle::traffic::{
-    Attempt, Board, Call, Descriptors, End, Freshness, Lease, Message, Notice, Port, Shared, Taken, Verdict,
+    Attempt, AttemptEnd, BodyReservation, Call, ClientHandle, Descriptors, FeedFreshness, FeedLease, Message,
+    Notification, RoutingState, Shared, Verdict,
 };
 use silverspindle::upstream::Order;
 
@@ -179,7 +180,7 @@
     gone: Cell<bool>,
 }
 
-impl Port for Client {
+impl ClientHandle for Client {
     fn id(&self) -> u64 {
         self.id
     }
@@ -195,13 +196,13 @@
 #[derive(Debug, Default)]
 struct Feed(Cell<bool>);
 
-impl Lease for Feed {
-    fn look(&self) -> Freshness {
-        Freshness { at: 0, age: None, oldest: self.0.get().then_some(LEASE) }
+impl FeedLease for Feed {
+    fn freshness(&self) -> FeedFreshness {
+        FeedFreshness { at: 0, age: None, max_copy_age: self.0.get().then_some(LEASE) }
     }
     fn applied(&self, _: u64, _: u64) {}
     fn reset(&self, _: u64) {}
-    fn acted(&self, _: &Attempt, _: Freshness) {}
+    fn attempt_written(&self, _: &Attempt, _: FeedFreshness) {}
 }
 
 type Mailboxes = Rc<RefCell<BTreeMap<MemberId, Receiver<Order>>>>;
@@ -211,7 +212,7 @@
     case: Case,
     time: Rc<Cell<Micros>>,
     director: Director,
-    board: Rc<Board>,
+    state: Rc<RoutingState>,
     feed: Rc<Feed>,
     mailboxes: Mailboxes,
     members: BTreeMap<MemberId, Member>,
@@ -233,20 +234,20 @@
     /// Starts a program with these settings and delivers the request to it.
     pub fn start(case: Case, program: &Rc<Catalogue>) -> Self {
         let time = Rc::new(Cell::new(START));
-        let board = Rc::new(Board::by(Clock::given(time.clone())));
+        let state = Rc::new(RoutingState::with_clock(Clock::given(time.clone())));
         let feed = Rc::new(Feed::default());
-        board.lease(feed.clone(), CLEARED);
+        state.set_lease(feed.clone(), CLEARED);
         let (to_director, _) = async_channel::bounded(1);
         let shared = Rc::new(Shared {
             catalogue: program.clone(),
-            board: board.clone(),
+            state: state.clone(),
             descriptors: Descriptors::new(64),
             director: to_director,
             tasks: Rc::default(),
         });
         let mut director = Director::new(7, shared, Rc::default(), Copies::new(1_000_000, 1e6, 4e6));
         let counters = Rc::<Counters>::default();
-        director.count_in(counters.clone());
+        director.set_counters(counters.clone());
         let mailboxes = Mailboxes::default();
         let all = mailboxes.clone();
         director.start_peers_by(move |id, _| {
@@ -261,7 +262,7 @@
             case,
             time,
             director,
-            board,
+            state,
             feed,
             mailboxes,
             members: members.map(|m| (m.id, m)).collect(),
@@ -283,8 +284,8 @@
             play.fill_own_copy();
         }
         play.came = play.now();
-        let client: Rc<dyn Port> = play.client.clone();
-        play.director.message(Message::Request { port: client, seq: 1, call: play.call(0xb) });
+        let client: Rc<dyn ClientHandle> = play.client.clone();
+        play.director.message(Message::Request { client, seq: 1, call: play.call(0xb) });
         play.look();
         play
     }
@@ -292,11 +293,11 @@
     /// Runs an earlier request whose answer the router keeps as its own copy.
     fn fill_own_copy(&mut self) {
         let before = Rc::new(Client { id: 1, ..Client::default() });
-        self.director.message(Message::Request { port: before, seq: 1, call: self.call(0xa) });
+        self.director.message(Message::Request { client: before, seq: 1, call: self.call(0xa) });
         self.look();
         self.copy_stamp = self.now();
         self.sent[0].attempt.written.set(true);
-        let end = End { body: Some(Bytes::from_static(OWN_BODY)), ..self.end(0, Status::Ok) };
+        let end = AttemptEnd { body: Some(Bytes::from_static(OWN_BODY)), ..self.end(0, Status::Ok) };
         self.director.message(Message::Ended(end));
         self.sent.clear();
         self.time.set(self.now() + COPY_AGE);
@@ -311,13 +312,13 @@
             part: 0,
             group: GROUP,
             size_kb: Some(10.0),
-            token: Some("5c0f6e1a2b3d4c59".to_owned()),
-            cached: None,
+            idempotency_key: Some("5c0f6e1a2b3d4c59".to_owned()),
+            client_tag: None,
             deadline: self.now() + DEADLINE,
             body: Bytes::new(),
-            taken: Taken::default(),
-            over: Cell::new(false),
-            lines: RefCell::default(),
+            body_reservation: BodyReservation::default(),
+            finished: Cell::new(false),
+            used_connections: RefCell::default(),
         }
     }
 
@@ -329,9 +330,12 @@
         self.came + DEADLINE
     }
 
-    fn end(&self, index: usize, status: Status) -> End {
-        let name = (Bytes::from_static(b"4be0c1927d55a6f3"), Stamp::from_micros(self.now()));
-        End { name: Some(name), ..End::bare(self.sent[index].attempt.ticket, status) }
+    fn end(&self, index: usize, status: Status) -> AttemptEnd {
+        let version = (Bytes::from_static(b"4be0c1927d55a6f3"), Stamp::from_micros(self.now()));
+        AttemptEnd {
+            version: Some(version),
+            ..AttemptEnd::without_details(self.sent[index].attempt.ticket, status)
+        }
     }
 
     /// The events that can occur next.
@@ -391,14 +395,14 @@
             Step::End(index, ending) => self.end_attempt(index, ending),
             Step::Forget => {
                 self.closed = true;
-                self.director.message(Message::Forget { port: client, seq: 1 });
+                self.director.message(Message::Forget { client, seq: 1 });
             }
             Step::Left => {
                 self.closed = true;
                 self.client.gone.set(true);
-                self.director.message(Message::Left { port: client });
+                self.director.message(Message::Disconnected { client });
             }
-            Step::GiveUp => self.director.message(Message::GiveUp { port: client }),
+            Step::GiveUp => self.director.message(Message::GiveUp { client }),
             Step::Drain => self.list(first, |m| m.lifecycle = Lifecycle::Draining),
             Step::Remove => self.list(first, |m| m.lifecycle = Lifecycle::Gone),
             Step::Return => self.list(first, |m| (m.lifecycle, m.cell) = (Lifecycle::Ready, m.cell + 10)),
@@ -406,7 +410,7 @@
             Step::PurgeGroup => self.purge(Purged::Group(GROUP), 0),
             Step::PurgeLately => self.purge(Purged::Object(OBJECT), COPY_AGE + 500 * MS),
             Step::LeaseOut => self.feed.0.set(true),
-            Step::CopyDisplaced => self.director.message(Message::Room(0)),
+            Step::CopyDisplaced => self.director.message(Message::CopyMemory(0)),
             Step::CopyAged => self.pass_to(self.came + COPY_LEFT + MS),
             Step::WindowOver => self.pass_to(self.came + WINDOW + SLACK + MS),
             Step::NextTimer => {
@@ -436,18 +440,18 @@
             _ => drop(self.not_ready_since.entry(id).or_insert(self.time.get())),
         }
         let members = vec![listed(member.clone())];
-        self.director.notice(Notice::News(News::Members { complete: false, members }));
+        self.director.notice(Notification::Update(News::Members { complete: false, members }));
     }
 
     fn purge(&mut self, what: Purged, age: Micros) {
         let at = self.now() - age;
         self.purges.push((self.now(), at));
-        self.director.notice(Notice::News(News::Purged { what, at: Stamp::from_micros(at) }));
+        self.director.notice(Notification::Update(News::Purged { what, at: Stamp::from_micros(at) }));
     }
 
     fn write(&mut self, index: usize) {
         let sent = &self.sent[index];
-        if !self.board.allows(&sent.attempt, sent.member) {
+        if !self.state.allows(&sent.attempt, sent.member) {
             return self.end_attempt(index, Ending::NeverSent);
         }
         if let Some(fault) = self.fault_of_writing(index) {
@@ -488,7 +492,7 @@
             }
             (Repeats::InItsCell, Some(_)) => {}
         }
-        let limit = sent.attempt.terms.max_age.unwrap_or(FRESH + STALE);
+        let limit = sent.attempt.options.max_age.unwrap_or(FRESH + STALE);
         let heeded = |(told, at): &(Micros, Micros)| now > told + HEED_PURGES && now <= at + CLEARED;
         if !self.case.write && self.purges.iter().any(|p| heeded(p) && now.saturating_sub(limit) < p.1 - MS) {
             return Some("asked for a copy that is older than a purge");
@@ -570,7 +574,7 @@
                 let served = self.sent.iter().any(|s| s.ended == Some(Ending::Served));
                 (!served).then_some("served what no cache answered")
             }
-            Verdict::Holds => Some("the client's copy is called current though no cache named it"),
+            Verdict::NotModified => Some("the client's copy is called current though no cache named it"),
             Verdict::Failed => None,
         }
     }
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -10,7 +10,8 @@
 use silverspindle::drain::Drain;
 use silverspindle::front::Front;
 use silverspindle::traffic::{
-    Attempt, Board, Call, Descriptors, Message, Port, Shared, Taken, Terms, Verdict,
+    Attempt, BodyReservation, Call, ClientHandle, Descriptors, FetchOptions, Message, RoutingState, Shared,
+    Verdict,
 };
 use silverspindle::upstream::{Order, Peer};
 
@@ -25,7 +26,7 @@
     pub gone: Cell<bool>,
 }
 
-impl Port for Waiting {
+impl ClientHandle for Waiting {
     fn id(&self) -> u64 {
         0
     }
@@ -52,10 +53,10 @@
     pub fn with(tasks: &Tasks, descriptors: usize, options: &serde_json::Value) -> Self {
         let (director, ends) = async_channel::bounded(1024);
         let catalogue = Rc::new(Catalogue::read(options.as_object().unwrap()));
-        let board = Rc::new(Board::default());
-        [PEER, SOURCE].into_iter().for_each(|id| board.set_ready(id, true));
+        let state = Rc::new(RoutingState::default());
+        [PEER, SOURCE].into_iter().for_each(|id| state.set_ready(id, true));
         let descriptors = Descriptors::new(descriptors);
-        let shared = Rc::new(Shared { catalogue, board, descriptors, director, tasks: tasks.clone() });
+        let shared = Rc::new(Shared { catalogue, state, descriptors, director, tasks: tasks.clone() });
         Self { shared, ends, cache: Cache::start(tasks), client: Rc::default() }
     }
 
@@ -71,32 +72,32 @@
             part: 3,
             group: 17,
             size_kb: None,
-            token: None,
-            cached: None,
+            idempotency_key: None,
+            client_tag: None,
             deadline: clock::now() + 60_000_000,
             body: Bytes::new(),
-            taken: Taken::default(),
-            over: Cell::new(false),
-            lines: RefCell::default(),
+            body_reservation: BodyReservation::default(),
+            finished: Cell::new(false),
+            used_connections: RefCell::default(),
         };
         Rc::new(Attempt {
             ticket,
             client: self.client.clone(),
             write_by: call.deadline,
-            line: Cell::new(0),
-            until: call.deadline,
+            connection: Cell::new(0),
+            deadline: call.deadline,
             call: Rc::new(call),
-            terms: Terms {
+            options: FetchOptions {
                 source: Some(SOURCE),
                 keep: Keep::Middle,
                 max_age: Some(900),
                 mode: FillMode { join: true, held_only: true, parent_pass: true, renew: true },
             },
-            decided: self.shared.board.moment(),
+            purge_seq: self.shared.state.purge_seq(),
             written: Cell::new(false),
-            dropped: Cell::new(false),
-            first: true,
-            bare: Cell::new(false),
+            abandoned: Cell::new(false),
+            is_first: true,
+            without_source: Cell::new(false),
             tokens: Cell::new(0),
         })
     }
@@ -121,11 +122,11 @@
     }
 
     /// The next request that the front hands on.
-    pub async fn request(&self) -> (Rc<dyn Port>, i32, Call) {
+    pub async fn request(&self) -> (Rc<dyn ClientHandle>, i32, Call) {
         loop {
             match self.ends.recv().await.unwrap() {
-                Message::Request { port, seq, call } => return (port, seq, call),
-                Message::Left { .. } => {}
+                Message::Request { client, seq, call } => return (client, seq, call),
+                Message::Disconnected { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -104,7 +104,10 @@
         front.stop_accepting();
         until(|| front.settled()).await;
         while let Ok(message) = world.ends.try_recv() {
-            assert!(matches!(message, Message::Left { .. }), "sent on after the shutdown: {message:?}");
+            assert!(
+                matches!(message, Message::Disconnected { .. }),
+                "sent on after the shutdown: {message:?}"
+            );
         }
     });
 }
@@ -182,7 +185,7 @@
     run(async |tasks| {
         let mut world = World::new(tasks, 9);
         let (director, ends) = async_channel::bounded(1);
-        director.try_send(Message::Limits).unwrap();
+        director.try_send(Message::PublishLimits).unwrap();
         let shared = Rc::get_mut(&mut world.shared).unwrap();
         (shared.director, world.ends) = (director, ends);
         let drain = drain();
@@ -201,7 +204,7 @@
         drain.borrow_mut().end(clock::now());
         assert!(front.flushed() && !front.settled());
         assert!(!drain.borrow().may_exit(clock::now(), 0, front.settled()));
-        assert!(matches!(world.ends.recv().await.unwrap(), Message::Limits));
+        assert!(matches!(world.ends.recv().await.unwrap(), Message::PublishLimits));
         let (port, seq, _) = world.request().await;
         port.answer(seq, Verdict::Failed);
         assert_eq!(client.next().await.unwrap(), thrift::broken(1));
--- a/silverspindle/tests/crossing_peers.rs
+++ b/silverspindle/tests/crossing_peers.rs
@@ -77,9 +77,9 @@
 fn what_was_overtaken_while_its_connection_came_up_is_never_written() {
     let overtake: [fn(&World, &Attempt); 4] = [
         |world, _| world.client.gone.set(true),
-        |_, attempt| attempt.call.over.set(true),
-        |world, _| world.shared.board.set_ready(SOURCE, false),
-        |_, attempt| attempt.dropped.set(true),
+        |_, attempt| attempt.call.finished.set(true),
+        |world, _| world.shared.state.set_ready(SOURCE, false),
+        |_, attempt| attempt.abandoned.set(true),
     ];
     for (n, overtake) in overtake.into_iter().enumerate() {
         run(async |tasks| {
@@ -92,7 +92,7 @@
             overtake(&world, &attempt);
             let line = gate.open().await;
             assert!(reads_nothing(&line).await, "case {n}");
-            if !attempt.dropped.get() {
+            if !attempt.abandoned.get() {
                 assert_eq!(world.end().await, (1, Status::Moot));
             }
         });
@@ -382,9 +382,9 @@
             peer.send(Order::Send(attempt.clone())).await.unwrap();
         }
         Timer::after(Duration::from_millis(20)).await;
-        waiting[0].dropped.set(true);
+        waiting[0].abandoned.set(true);
         peer.send(Order::GiveUp(waiting[0].clone(), false)).await.unwrap();
-        waiting[1].call.over.set(true);
+        waiting[1].call.finished.set(true);
         let mut all = Vec::new();
         let mut buffer = vec![0; 1 << 16];
         let last = format!("{:016x}", 5);
@@ -429,7 +429,7 @@
         let attempt = world.attempt(1, RID);
         peer.send(Order::Send(attempt.clone())).await.unwrap();
         let (_, line) = world.cache.next().await;
-        let left_before = attempt.line.get() + 1;
+        let left_before = attempt.connection.get() + 1;
         peer.send(Order::Unwritten(left_before, attempt)).await.unwrap();
         reply(&line, &[RID, "FAULT", "-", ""]).await;
         assert_eq!(world.end().await, (1, Status::Error));
--- a/silverspindle/tests/distribution.rs
+++ b/silverspindle/tests/distribution.rs
@@ -17,7 +17,7 @@
 use futures_rustls::TlsAcceptor;
 use silverspindle::knowledge::keys::Tls;
 use silverspindle::links::{self, Connected, Connector};
-use silverspindle::traffic::{Attempt, Freshness, Lease};
+use silverspindle::traffic::{Attempt, FeedFreshness, FeedLease};
 use silverspindle::upstream::Order;
 use silverspindle_agreement::PIECE;
 use silverspindle_knowledge::protocol::{self, Message, VERSION};
@@ -345,13 +345,13 @@
     acted: RefCell<Vec<u64>>,
 }
 
-impl Lease for Scripted {
-    fn look(&self) -> Freshness {
-        Freshness { at: 0, age: None, oldest: self.oldest.get() }
+impl FeedLease for Scripted {
+    fn freshness(&self) -> FeedFreshness {
+        FeedFreshness { at: 0, age: None, max_copy_age: self.oldest.get() }
     }
     fn applied(&self, _: u64, _: u64) {}
     fn reset(&self, _: u64) {}
-    fn acted(&self, attempt: &Attempt, _: Freshness) {
+    fn attempt_written(&self, attempt: &Attempt, _: FeedFreshness) {
         self.acted.borrow_mut().push(attempt.ticket);
     }
 }
@@ -362,11 +362,11 @@
 fn what_was_decided_before_the_lease_ran_out_is_not_written_after() {
     run(async |tasks| {
         let (world, feed) = (World::new(tasks, 8), Rc::new(Scripted::default()));
-        world.shared.board.lease(feed.clone(), 6_500_000);
+        world.shared.state.set_lease(feed.clone(), 6_500_000);
         let peer = world.peer();
         let attempt = |ticket: u64, rid: &str, max_age| {
             let mut attempt = Rc::into_inner(world.attempt(ticket, rid)).unwrap();
-            attempt.terms.max_age = max_age;
+            attempt.options.max_age = max_age;
             Rc::new(attempt)
         };
         let unlimited = attempt(1, "00000000000000a1", None);
