--- a/src/settings.rs
+++ b/src/settings.rs
@@ -22,12 +22,12 @@
     pub streams_per_conn: usize,
     /// Idle time after which a connection is closed; 0: not given.
     pub idle_close: Micros,
-    /// Cost of a new connection as a multiple of that of a first attempt; 0: none.
+    /// Cost of a new connection, in units of a first attempt; 0: none.
     pub handshake_price: f64,
 }
 
 impl Catalogue {
-    /// Reads the settings leniently: a value that is absent or of the wrong type is taken as its default.
+    /// Reads the settings leniently: a value of the wrong type counts as absent.
     pub fn read(options: &Object) -> Self {
         let entries = options.get("classes").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
         let classes = entries.iter().map(|c| Part(c.as_object()).text("name").to_owned()).collect();
@@ -60,8 +60,7 @@
     names.iter().position(|n| Some(n.as_str()) == name).unwrap_or(usize::MAX)
 }
 
-/// A JSON object of the settings, read leniently: a value that is absent or of the wrong type is taken as zero,
-/// false, empty or `None`.
+/// A JSON object of the settings, read leniently: a value of the wrong type counts as absent.
 struct Part<'a>(Option<&'a Object>);
 
 impl<'a> Part<'a> {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,5 +1,6 @@
-//! The ramp holds for the fleet: 3, 30 and 300 instances of the module on one made-up clock, and the sum of what they
-//! send to a cold member in any window of the rule's length. Each seed is a fleet of its own.
+//! The budget of a cold member holds for the whole fleet: 3, 30 and 300 instances of the module run on one simulated
+//! clock, and the sum of what they send to a cold member is checked for each window of the rule's length. Each seed
+//! gives another fleet.
 
 mod common;
 
@@ -8,23 +9,24 @@
 
 const COLD_CACHE: u64 = 1;
 const COLD_PARENT: u64 = 11;
-/// Sending time of one request: 500 KB at 5,000 KB a second.
+/// Sending time of one request in seconds: 500 KB at 5,000 KB per second.
 const WORK: f64 = 0.1;
 const START: Micros = 100 * S;
 
-/// How requests come.
+/// Arrival pattern of the requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Traffic {
+    /// All routers get the same rate.
     Even,
-    /// Some routers see many times what others do.
+    /// Some routers get many times the rate of others.
     Uneven,
-    /// Nothing at all for a while, then all that the warm ones can bear, for few objects, at all routers at once.
+    /// Periods without requests, then as many as the warm members can serve, for few objects, at all routers at once.
     Bursts,
-    /// As bursts, and a third of the attempts fail, each in a way of its own: retries and second copies.
+    /// As `Bursts`, and a third of the attempts fail with varying status: causes retries and second copies.
     Trouble,
 }
 
-/// A small generator of numbers by seed.
+/// Seeded pseudo-random number generator.
 struct Draw(u64);
 
 impl Draw {
@@ -34,7 +36,7 @@
     }
 }
 
-/// Objects that the cold member comes first for, as request or as source, however cold it is.
+/// Objects for which the cold member ranks first, as target or as source, even right after its start.
 fn objects_of(cold: u64) -> Vec<String> {
     let members =
         fleet().into_iter().map(|m| Member { started: if m.id.0 == cold { START - 1 } else { 0 }, ..m });
@@ -51,7 +53,7 @@
     Settings { fall_window: S, ..common::settings() }
 }
 
-/// Times at which anything went to the cold member, as request or as source.
+/// Times of all attempts that have the cold member as target or source.
 fn sent_to(cold: u64, directors: u32, weights: Weights, traffic: Traffic, seed: u64) -> Vec<Micros> {
     let base = Settings {
         directors,
@@ -72,11 +74,11 @@
             world
         })
         .collect();
-    // Each hears of the start at a time of its own.
+    // Each director learns of the start at another time.
     let heard: Vec<Micros> = (0..directors).map(|_| START + draw.next(3_000) * MS).collect();
     let mut told = vec![false; directors as usize];
     let (mut next, mut sent) = (0u128, Vec::new());
-    // Ends and timers that are due: time, router, event.
+    // Pending outcomes and timers: time, router, event.
     let mut due: Vec<(Micros, usize, Event)> = Vec::new();
     let hot = objects_of(cold);
     let tick = 20 * MS;
@@ -98,7 +100,7 @@
                 events.push((i, Event::Members { kind: ListKind::Delta, members: vec![member] }));
             }
         }
-        // What the whole location bears warm is 4 x 10 s of work a second: half of that is asked, in a burst all.
+        // The location's warm capacity is 4 x 10 s of work per second: requests for half of it, all of it in a burst.
         let warm_up = now < START;
         let quiet = ((now - 3 * S) / S) % 4 != 2;
         let asked = match traffic {
@@ -136,7 +138,7 @@
                             2 => Status::Reset,
                             _ => Status::Timeout,
                         };
-                        // A number of the attempt is found by its order at that request.
+                        // Number of the attempt: the pending outcomes of the same request are counted.
                         let number = due
                             .iter()
                             .filter(|(_, j, e)| *j == i && matches!(e, Event::Outcome(o) if o.id == id))
@@ -159,7 +161,8 @@
     sent
 }
 
-/// By how much the fullest window goes over what the rule allows then, chance (2 roots and 2) included; and the sends.
+/// Largest excess over what the rule allows in a window, with a margin for chance (2 square roots plus 2), and the
+/// number of sends.
 fn over(cold: u64, sent: &[Micros]) -> (f64, usize) {
     let s = settings();
     let (multiple, from, time) = match cold {
@@ -177,7 +180,7 @@
 }
 
 #[test]
-fn the_sum_of_all_instances_keeps_a_cold_budget() {
+fn the_fleet_together_stays_within_a_cold_members_budget() {
     for cold in [COLD_CACHE, COLD_PARENT] {
         for directors in [3, 30, 300] {
             for traffic in [Traffic::Even, Traffic::Uneven, Traffic::Bursts, Traffic::Trouble] {
@@ -196,9 +199,9 @@
     }
 }
 
-/// Where the settings name no time in which a cold member falls over, it has no budget, and is not shut out either.
+/// Without an overload window in the settings a cold member has no budget, and must not be excluded either.
 #[test]
-fn without_a_window_a_cold_member_is_used() {
+fn without_an_overload_window_a_cold_member_is_used() {
     let members = fleet().into_iter().map(|m| Member { started: START - 1, ..m }).collect();
     let mut world = World::with(Settings { fall_window: 0, ..settings() }, members);
     for id in 1..=50 {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world for the module: settings, members, and a record of what a director was asked and did.
+//! Test fixture of the decision module: settings, members, and a director on a simulated clock.
 #![allow(dead_code)]
 
 use bitternhold::*;
@@ -114,7 +114,7 @@
         self.tell(Event::Outcome(outcome(id, attempt, member, status)))
     }
 
-    /// Asks and lets it be served, so that nothing stays open.
+    /// Sends a request and its successful outcome, so that nothing stays open.
     pub fn serve(&mut self, id: u128, object: &str) -> Sent {
         let sent = sent(&self.ask(id, object));
         self.end(id, 0, sent.member, Status::Ok);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,5 +1,5 @@
-//! Decisions stay what they were, to the digit, where only their cost is meant to change: a digest of all actions over
-//! long traces with many members, which was recorded before the change.
+//! Optimisations must not change any decision: a digest of all actions over long traces with many members is compared
+//! with one recorded before such a change.
 
 mod common;
 
@@ -19,7 +19,7 @@
 const OBJECTS: u64 = 900;
 const SPACING: Micros = 4 * MS;
 
-/// What was recorded with the ranking that sorted all members, and purges that were looked through one by one.
+/// Digest recorded with an implementation that sorted all members and searched the purges one by one.
 const RECORDED: u64 = 0x4459_9da9_fe29_3f2d;
 
 struct Draw(u64);
@@ -35,7 +35,7 @@
     }
 }
 
-/// Settings that differ by seed in what ranking, budgets and purges go by.
+/// Settings that vary with the seed in everything that ranking, budgets and purges depend on.
 fn settings_of(seed: u64) -> Settings {
     let dedup = |group| Class { effect: Effect::Deduplicated, group, write: true, ..class() };
     let classes = vec![
@@ -71,7 +71,7 @@
     all
 }
 
-/// A change of one member: it drains, is gone, comes back, or starts anew.
+/// A change of one member: it drains, goes, comes back or restarts.
 fn change(draw: &mut Draw, now: Micros) -> Event {
     let cache = draw.below(3) > 0;
     let (id, kind) =
@@ -106,9 +106,9 @@
     }
 }
 
-/// How an attempt ends, and after what time.
+/// A random outcome of an attempt.
 fn drawn_outcome(draw: &mut Draw, now: Micros, id: u128, attempt: u32, member: MemberId) -> Outcome {
-    // Some members fail much, and for a while all are slow.
+    // Some members fail often, and at times all are slow.
     let faulty = member.0.is_multiple_of(9);
     let status = match draw.below(if faulty { 12 } else { 60 }) {
         0 => Status::Timeout,
@@ -131,10 +131,10 @@
     Outcome { elapsed, note, closed: status == Status::Ok, ..outcome(id, attempt, member, status) }
 }
 
-/// What comes back at a time, in the order in which it was made.
+/// Pending events by time, and by number in the order of their creation.
 type Due = BinaryHeap<Reverse<(Micros, u64)>>;
 
-/// Plays a trace and writes all actions.
+/// Plays a trace and returns all actions as text.
 fn actions_of(seed: u64) -> String {
     let mut draw = Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
     let members = all_listed(&mut draw);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn decisions_over_long_traces_are_those_that_were_recorded() {
+fn decisions_over_long_traces_match_the_recorded_digest() {
     let mut sum = 0xcbf2_9ce4_8422_2325;
     let (mut fetched, mut refused, mut again, mut own) = (0, 0, 0, 0);
     for seed in 0..SEEDS {
@@ -197,13 +197,13 @@
         own += lines(" Own");
         sum = digest(&written, sum);
     }
-    println!("{fetched} sent, {refused} refused or failed, {own} own copies, {again} words on members");
-    // The traces go where decisions are hard: members at fault, refusals, own copies.
+    println!("{fetched} sent, {refused} refused or failed, {own} own copies, {again} changes of quarantine");
+    // The traces must reach the difficult cases: members at fault, refusals, own copies.
     assert!(fetched > 30_000 && refused > 300 && again > 50 && own > 100);
     assert_eq!(sum, RECORDED, "{sum:#018x}");
 }
 
 #[test]
-fn a_trace_is_the_same_each_time() {
+fn replaying_a_trace_gives_the_same_actions() {
     assert!(actions_of(3) == actions_of(3));
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! Both deployments by their settings alone: several directors side by side on one made-up clock, caches in trouble, and
-//! the rules that hold everywhere. What differs is in the settings' text below and nowhere else.
+//! Two deployments that differ only in their settings below: several directors on one simulated clock, with failing
+//! caches, must keep the rules that hold everywhere.
 
 mod common;
 
@@ -29,13 +29,14 @@
         "rules": {"drain_grace_ms": 1000.0, "cold_from": 0.18, "cold_ms": 18000.0}
     });
     let (info, limits, rules) = match name {
-        // Answers tell all, second copies may be out, no fill is joined, any cache is a source.
+        // Answers carry all notes, second copies are allowed, fills are not joined, any cache may be a source.
         "parcels" => (
             json!({"detail": "all", "neighbours": "any", "shares_fills": false, "heed_within_ms": 500.0}),
             json!({"second_copies": true, "max_retry_after_ms": 2000.0}),
             json!({"fall_multiple": 3.0, "tip_after_ms": 1000.0}),
         ),
-        // Answers tell nothing, one attempt out at a time, fills are joined, links are told, sources in the room alone.
+        // Answers carry no notes, one attempt at a time, fills are joined, link capacities are given, only caches at
+        // the same location may be sources.
         _ => (
             json!({"detail": "none", "neighbours": "location", "shares_fills": true, "heed_within_ms": 300.0,
                 "link_in_kb_per_s": [0.0, 40000.0]}),
@@ -58,35 +59,38 @@
 const ROUTERS: u32 = 3;
 const SITES: [&str; 2] = ["parcels", "maps"];
 const BOXES: u64 = 5;
-/// Requests a second to each director.
+/// Requests per second to each director.
 const RATE: u64 = 40;
-/// When the trouble begins and ends, and when the day does.
+/// Start of the fault, since the start of the simulation.
 const FROM: Micros = 3 * S;
+/// End of the fault.
 const UNTIL: Micros = 7 * S;
+/// End of the requests.
 const END: Micros = 14 * S;
 
-/// What is wrong with cache 1, or with parent 11 where that is said.
+/// Fault of cache 1, or of parent 11 where the variant says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Trouble {
     None,
-    /// Its process is gone: connections are refused, and it comes back cold.
+    /// Its process crashes: connections are refused, and it comes back cold.
     Crash,
-    /// It fails fast.
+    /// It answers with errors at once.
     Errors,
-    /// It takes requests and answers none.
+    /// It accepts requests and answers none.
     Hang,
-    /// Connections never come up and what is out stays silent.
+    /// Connections can't be established and attempts in flight get no answer; it comes back cold.
     Vanish,
-    /// All of its sort at once.
+    /// All caches refuse connections.
     Room,
-    /// A parent is gone.
+    /// Parent 11 can't be reached.
     Parent,
-    /// The list calls it draining, then gone.
+    /// The list reports it as draining, then gone.
     Drain,
-    /// An object's group is purged.
+    /// A group of objects is purged.
     Purge,
 }
 
+/// A scheduled event of the simulation.
 #[derive(Debug)]
 enum What {
     Ask(usize),
@@ -96,21 +100,22 @@
     Told,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct Out {
     member: u64,
     sent: Micros,
 }
 
+/// Results of a simulation.
 #[derive(Default)]
 struct Day {
     asked: u64,
     served: u64,
     refused: u64,
     failed: u64,
-    /// Answers by request: one each.
+    /// Number of final answers by request; must be one each.
     answers: BTreeMap<(usize, u128), u32>,
-    /// Attempts at, or from, a member by half seconds from its cold start on.
+    /// Attempts to cache 1 by half second since its cold start.
     cold: BTreeMap<Micros, f64>,
 }
 
@@ -124,7 +129,7 @@
     open: BTreeMap<(usize, u128), BTreeMap<u32, Out>>,
     tries: BTreeMap<(usize, u128), u32>,
     deadlines: BTreeMap<(usize, u128), Micros>,
-    /// Requests for objects of the group that is purged.
+    /// Requests for objects of the purged group.
     purged: BTreeSet<(usize, u128)>,
     kept: BTreeSet<(u64, String)>,
     day: Day,
@@ -226,7 +231,7 @@
         }
     }
 
-    /// The list's word, and a purge.
+    /// Sends the list updates and the purge that are due.
     fn told(&mut self) {
         let since = self.since();
         let state = |lifecycle, started| Member { lifecycle, started, ..member(1, CACHE) };
@@ -288,7 +293,7 @@
                 self.send(router, id.0, member.0, member.0, until, Some(()));
             }
             Action::Cancel { id, attempt } => {
-                // Given up: it is out no more, and its end is told.
+                // The attempt is no longer in flight, and its end is reported.
                 if let Some(out) = self.open.get_mut(&(router, id.0)).and_then(|all| all.remove(&attempt)) {
                     let closed = self.day.answers.contains_key(&(router, id.0));
                     let outcome = Outcome {
@@ -301,7 +306,7 @@
                 }
             }
             Action::Refuse { id, wait } => {
-                assert!(wait <= self.settings.max_retry_after, "advice that no client obeys: {wait}");
+                assert!(wait <= self.settings.max_retry_after, "retry delay that no client obeys: {wait}");
                 self.answer(router, id.0);
                 self.day.refused += 1;
             }
@@ -309,23 +314,24 @@
                 self.answer(router, id.0);
                 self.day.failed += 1;
             }
-            Action::Own { .. } => panic!("no copy was offered"),
+            Action::Own { .. } => panic!("answered with an own copy that doesn't exist"),
             Action::Timer { delay, token } => self.at(delay, What::Timer { router, token }),
             Action::Probe { member } => {
-                assert!(self.settings.probes, "a probe where none may be sent");
+                assert!(self.settings.probes, "probe sent although probes are not allowed");
                 self.at(2 * MS, What::Probe { router, member });
             }
             Action::Watch | Action::FetchList | Action::Log(_) => {}
         }
     }
 
-    /// From the purge's grace on until all older copies are dropped, an attempt names an age that rules them out.
+    /// From the end of the purge's grace period until all older copies are dropped, an attempt must have a maximum age
+    /// that excludes them.
     fn age(&self, router: usize, id: u128, max_age: Option<Micros>) {
         let Settings { purge_grace, purge_done, .. } = self.settings;
         let concerned = self.trouble == Trouble::Purge && self.purged.contains(&(router, id));
         if concerned && (FROM + purge_grace..FROM + purge_done).contains(&self.since()) {
             let young = max_age.is_some_and(|age| age <= self.since() - FROM);
-            assert!(young, "{max_age:?} may be older than the purge {} ago", self.since() - FROM);
+            assert!(young, "{max_age:?} allows copies older than the purge {} ago", self.since() - FROM);
         }
     }
 
@@ -336,21 +342,21 @@
         let attempt = *tries;
         *tries += 1;
         assert!(attempt < self.settings.max_attempts, "request {id} has attempt {attempt}");
-        assert!(!self.day.answers.contains_key(&key), "an attempt after the answer");
+        assert!(!self.day.answers.contains_key(&key), "attempt after the final answer");
         let out = self.open.get_mut(&key).expect("an open request");
         if !self.settings.second_copies {
             assert!(out.is_empty(), "two attempts of request {id} at a time, at {}", self.now - 100 * S);
         }
         out.insert(attempt, Out { member, sent: self.now });
-        // Rules on where it may go.
-        assert!(member <= BOXES, "an attempt at {member}, which is no cache");
+        // Targets and sources that the settings allow.
+        assert!(member <= BOXES, "attempt to {member}, which is not a cache");
         if self.settings.siblings == Siblings::None {
-            assert!(source == member || source > BOXES, "a source {source} that is not allowed");
+            assert!(source == member || source > BOXES, "source {source} is not allowed");
         }
         if self.trouble == Trouble::Drain && (FROM + S..UNTIL).contains(&self.since()) {
             assert!(
                 member != 1 && source != 1,
-                "to, or from, a box that drains or is gone, at {}",
+                "cache 1 is target or source although it is draining or gone, at {}",
                 self.since()
             );
         }
@@ -358,7 +364,7 @@
         if started && self.since() >= UNTIL && member == 1 {
             *self.day.cold.entry((self.since() - UNTIL) / (S / 2)).or_default() += 1.0;
         }
-        // What comes of it.
+        // Determines the outcome.
         let object = format!("{member}");
         let kept = self.kept.contains(&(member, object.clone()));
         let parent_gone =
@@ -381,18 +387,19 @@
     }
 }
 
-/// Every trouble under the settings of both: one final answer for each request, one attempt out where that holds, nothing to
-/// what drains or is gone, tries and advice within what the settings say, and most is served all the same.
+/// Every fault in both deployments: each request gets exactly one final answer, has one attempt at a time where no
+/// second copies are allowed, nothing is sent to a draining or gone member, the number of attempts and the retry delays
+/// stay within the settings, and most requests are still served.
 #[test]
-fn both_deployments_keep_the_rules_through_every_trouble() {
+fn both_deployments_keep_the_rules_under_every_fault() {
     use Trouble::{Crash, Drain, Errors, Hang, None, Parent, Purge, Room, Vanish};
     for name in SITES {
         for trouble in [None, Crash, Errors, Hang, Vanish, Room, Parent, Drain, Purge] {
             let day = Sim::play(name, trouble);
             let answered = day.answers.len() as u64;
-            assert_eq!(answered, day.asked, "{name}, {trouble:?}: requests without their answer");
+            assert_eq!(answered, day.asked, "{name}, {trouble:?}: requests without a final answer");
             assert_eq!(day.served + day.refused + day.failed, day.asked, "{name}, {trouble:?}");
-            // Without caches for four of fourteen seconds nobody can serve more.
+            // Without caches for four of fourteen seconds no more can be served.
             let least = if trouble == Room { 0.6 } else { 0.9 };
             let share = day.served as f64 / day.asked as f64;
             assert!(
@@ -405,14 +412,14 @@
     }
 }
 
-/// A box that comes back cold gets no more than its multiple from all directors together, and is not starved.
+/// A cache that restarts cold must not be overloaded by the sum of all directors' attempts, nor get too few of them.
 #[test]
-fn a_box_that_comes_back_cold_keeps_its_budget_over_all_directors() {
+fn a_cache_that_restarts_cold_gets_its_budget_from_all_directors_together() {
     for name in SITES {
         for trouble in [Trouble::Crash, Trouble::Vanish, Trouble::Drain] {
             let day = Sim::play(name, trouble);
             let settings = Catalogue::read(site(name).as_object().unwrap()).settings;
-            // A fifth of the load is its share when warm: it is sized for that.
+            // Its share when warm is a fifth of the load, which is what it is sized for.
             let warm = (u64::from(ROUTERS) * RATE) as f64 / BOXES as f64 / 2.0;
             let most = |half: Micros| {
                 let warmed = (half + 1) as f64 * 0.5 / (settings.cold_time as f64 / S as f64);
@@ -428,7 +435,7 @@
             }
             assert!(
                 day.cold.values().sum::<f64>() > 5.0,
-                "{name}, {trouble:?}: it is starved: {:?}",
+                "{name}, {trouble:?}: too few attempts: {:?}",
                 day.cold
             );
         }
--- a/tests/filter.rs
+++ b/tests/filter.rs
@@ -1,4 +1,4 @@
-//! The ageing filter: Algorithm 1 of the paper with its edges.
+//! The ageing filter: Algorithm 1 of the paper and its edge cases.
 
 mod common;
 use bitternhold::*;
@@ -7,22 +7,22 @@
 const QUIET: u64 = 10_000_000;
 
 #[test]
-fn first_sight_is_unknown_second_is_known() {
+fn an_id_is_unknown_at_first_and_known_afterwards() {
     let mut f = AgeingFilter::new(4, QUIET);
     assert!(!f.seen(1, 7));
     assert!(f.seen(2, 7));
 }
 
 #[test]
-fn a_full_generation_becomes_the_passive_one_and_still_counts() {
+fn a_full_generation_becomes_the_passive_one_and_is_still_known() {
     let mut f = AgeingFilter::new(2, QUIET);
     f.seen(1, 1);
-    f.seen(2, 2); // full: {1, 2} passive
+    f.seen(2, 2); // full: passive is {1, 2}
     assert!(f.seen(3, 1));
 }
 
 #[test]
-fn what_was_not_seen_for_two_generations_is_forgotten() {
+fn ids_not_seen_for_two_generations_are_forgotten() {
     let mut f = AgeingFilter::new(2, QUIET);
     for id in 1..=4 {
         f.seen(id, id);
@@ -32,18 +32,18 @@
 }
 
 #[test]
-fn an_id_of_the_passive_set_enters_the_active_one_and_counts() {
+fn an_id_of_the_passive_set_enters_the_active_one_and_counts_there() {
     let mut f = AgeingFilter::new(2, QUIET);
     f.seen(1, 1);
-    f.seen(2, 2); // passive {1, 2}
-    f.seen(3, 1); // refreshed: active {1}
-    f.seen(4, 3); // full: passive {1, 3}, 2 is gone
+    f.seen(2, 2); // passive is {1, 2}
+    f.seen(3, 1); // refreshed: active is {1}
+    f.seen(4, 3); // full: passive is {1, 3}, 2 is forgotten
     assert!(f.seen(5, 1));
     assert!(!f.seen(6, 2));
 }
 
 #[test]
-fn an_id_of_the_active_set_counts_once() {
+fn a_repeated_id_of_the_active_set_counts_once() {
     let mut f = AgeingFilter::new(3, QUIET);
     for t in 0..10 {
         f.seen(t, 1);
@@ -53,15 +53,15 @@
 }
 
 #[test]
-fn ten_quiet_seconds_swap_once_more() {
+fn ten_seconds_without_a_new_id_swap_the_generations() {
     let mut f = AgeingFilter::new(100, QUIET);
     f.seen(1, 1);
-    assert!(f.seen(1 + QUIET, 1), "one swap: passive now");
+    assert!(f.seen(1 + QUIET, 1), "one swap: still in the passive set");
     assert!(!f.seen(2 + 3 * QUIET, 2));
-    assert!(!f.seen(3 + 5 * QUIET, 1), "two swaps: gone");
+    assert!(!f.seen(3 + 5 * QUIET, 1), "two swaps: forgotten");
 }
 
-/// What a director keeps of objects that it sees first, with so many directors at its location.
+/// Ranks at which a director keeps objects that it sees for the first time, by the number of directors at its location.
 fn kept_at_first(directors: u32) -> Vec<Keep> {
     let settings = Settings { zone_directors: vec![0, directors], ..settings() };
     let mut w = World::new(settings);
@@ -69,13 +69,14 @@
 }
 
 #[test]
-fn the_only_director_passes_what_it_sees_first() {
+fn a_single_director_passes_objects_through_at_first_sight() {
     assert!(kept_at_first(1).iter().all(|k| *k == Keep::Pass));
 }
 
-/// visayas-shops-later big-1: with seven directors at a location an object had to come many times.
+/// Guards against objects that must be requested many times before they are kept, as each of several directors sees
+/// only some of the requests: seven at a location in scenario visayas-shops-later big-1.
 #[test]
-fn one_of_several_keeps_most_of_it_on_trial_and_what_comes_again_at_the_middle() {
+fn one_of_several_directors_keeps_most_new_objects_on_trial_and_repeated_ones_at_the_middle() {
     let first = kept_at_first(5);
     let trial = first.iter().filter(|k| **k == Keep::Low).count();
     assert!((130..190).contains(&trial) && !first.contains(&Keep::Middle), "{trial}");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,16 +1,18 @@
-//! What is harmless at one director and harmful when many do it: instances side by side on one made-up clock.
+//! Behaviour that is harmless in one director and harmful in many: several instances on one simulated clock.
 
 mod common;
 
 use bitternhold::*;
 use common::*;
 
+/// One world for each of the directors.
 fn all(directors: u32) -> Vec<World> {
     let settings = Settings { directors, zone_directors: vec![0, directors], ..settings() };
     (0..directors).map(|index| World::new(Settings { index, ..settings.clone() })).collect()
 }
 
-/// Fills that go on to the origin when each director is asked for so many objects and nothing is answered.
+/// Number of fills that may go on to the origin when each director gets requests for `each` objects and nothing is
+/// answered.
 fn full_fills(fleet: &mut [World], each: u128) -> usize {
     let fills = |w: &mut World| -> usize {
         let sent = (0..each).flat_map(|id| sends(&w.ask(id + 1, &format!("o{id}"))));
@@ -19,20 +21,21 @@
     fleet.iter_mut().map(fills).sum()
 }
 
-/// Guards against a first limit that holds for each director: when all copies go void at once, so many times
-/// the directors would reach the origin before the first of them is late.
+/// Guards against an initial limit per director: when all copies become invalid at once, the origin would get that
+/// limit times the number of directors before the first fill is late.
 #[test]
-fn the_first_limit_is_shared_by_the_fleet() {
+fn the_initial_limit_is_shared_by_the_fleet() {
     for (directors, most) in [(3, 120), (30, 120), (100, 400), (300, 1200)] {
         let sum = full_fills(&mut all(directors), 50);
         assert!(sum <= most && sum * 10 >= most * 9, "{directors} directors: {sum}");
     }
 }
 
-/// Guards against a fleet that learns of a jam at the origin only by answers that come when it has lasted:
-/// the look that finds the fill under way proves it late, so it keeps its place and its limit falls.
+/// Guards against a fleet that detects congestion at the origin only by answers that arrive when it has lasted for
+/// long: a lookup that finds the fill running proves it late, so the fill still counts as in flight and its limit
+/// falls.
 #[test]
-fn a_fill_found_under_way_is_late_and_keeps_its_place() {
+fn a_fill_found_running_is_late_and_still_counts_as_in_flight() {
     let few = |found: Option<Note>| {
         let mut settings = Settings { directors: 100, second_copies: true, joins: false, ..settings() };
         settings.zone_directors = vec![0, 10];
@@ -44,7 +47,7 @@
             let member = sent(&out).member;
             let Some(Action::Timer { delay, token }) = out.iter().find(|a| matches!(a, Action::Timer { .. }))
             else {
-                panic!("unwatched: {out:?}")
+                panic!("attempt without a timer: {out:?}")
             };
             w.now += *delay;
             if !sends(&w.tell(Event::Timer { token: *token })).is_empty() {
@@ -54,11 +57,11 @@
         }
         full_fills(std::slice::from_mut(&mut w), 50)
     };
-    // Nothing there: the answers were lost, and the limit of four holds for new fills. Under way: it is late.
+    // No copy and no fill: the answers were lost, and the limit of four is free for new fills. Running: it is late.
     assert_eq!((few(None), few(Some(Note::Joined))), (4, 0));
 }
 
-/// Asks for so many objects; fills by parent 11 fail, as it is gone, and all others come in time.
+/// Requests an object for each id; fills from parent 11 fail, as it is gone, and all others are in time.
 fn with_a_dead_parent(w: &mut World, ids: std::ops::Range<u128>) {
     for id in ids {
         let (mut out, mut attempt) = (w.ask(id, &format!("o{id}")), 0);
@@ -73,19 +76,19 @@
     }
 }
 
-/// Guards against a lost parent that stops the fills by all others: its refusals speak against it alone, and
-/// say nothing of the location's link or the origin.
+/// Guards against a lost parent that stops the fills from all others: its refusals count against it alone, and are no
+/// sign of congestion at the location's link or the origin.
 #[test]
-fn a_lost_parents_refusals_cut_no_limit_of_all_fills() {
+fn refusals_of_a_lost_parent_do_not_reduce_the_limit_of_all_fills() {
     let mut w = World::new(settings());
     with_a_dead_parent(&mut w, 1..6);
     assert!(full_fills(std::slice::from_mut(&mut w), 40) >= 39);
 }
 
-/// Guards against a fleet that fills from a lost parent as long as the well ones have no room: set aside, it
-/// is no source while the origin is there.
+/// Guards against a fleet that fills from a lost parent as long as the healthy ones have no room: a quarantined parent
+/// must not be a source while the origin is listed.
 #[test]
-fn a_parent_set_aside_gives_way_to_the_origin() {
+fn the_origin_is_preferred_to_a_quarantined_parent() {
     let mut members = fleet();
     let cold = members.iter_mut().find(|m| m.id == MemberId(12)).expect("the second parent");
     (cold.started, cold.weight) = (100 * S, 0.01);
@@ -94,7 +97,7 @@
     let sources: Vec<_> =
         (100..120).flat_map(|id| sends(&w.ask(id, &format!("p{id}")))).map(|s| s.source).collect();
     assert!(sources.iter().filter(|s| **s == MemberId(20)).count() >= 18, "{sources:?}");
-    // Without an origin in the list it is better than nothing.
+    // Without an origin in the list a quarantined parent is better than none.
     let origin = Member { lifecycle: Lifecycle::Gone, ..member(20, ORIGIN) };
     w.tell(Event::Members { kind: ListKind::Delta, members: vec![origin] });
     assert_eq!(sent(&w.ask(200, "q")).source, MemberId(11));
--- a/tests/inherited.rs
+++ b/tests/inherited.rs
@@ -1,4 +1,5 @@
-//! What a director makes of others' words: priors that its own observations soon outweigh, and nothing more.
+//! Observations inherited from other directors are only initial estimates, which a director's own observations soon
+//! outweigh.
 
 mod common;
 
@@ -13,24 +14,25 @@
     InheritedMember { id: MemberId(id), ill: 0.9, ill_weight: 0.9, aside, ..InheritedMember::default() }
 }
 
-/// Requests for many objects: how many of the first attempts went to this cache.
+/// Number of first attempts that went to this cache, of requests for 60 objects.
 fn share(world: &mut World, from: u128, cache: u64) -> usize {
     (from..from + 60).filter(|id| world.serve(*id, &format!("o{id}")).member == MemberId(cache)).count()
 }
 
-/// Guards against meeting an ill member anew: a newcomer sets it aside at once, and tries it after that.
+/// Guards against a new director that detects a faulty member all over again: it quarantines the member at once, and
+/// puts it on probation afterwards.
 #[test]
-fn a_member_that_others_set_aside_gets_nothing_until_it_is_tried_again() {
+fn a_member_quarantined_by_others_gets_no_attempts_until_its_probation() {
     let mut world = World::new(settings());
     told(&mut world, vec![ill(1, 3 * S)]);
     assert_eq!(share(&mut world, 1, 1), 0);
     world.now += 4 * S;
-    assert!(share(&mut world, 100, 1) > 5, "trusted again by what it answers");
+    assert!(share(&mut world, 100, 1) > 5, "trusted again after successful answers");
 }
 
-/// Guards against a word that is out of date: what the director has seen itself goes before.
+/// Guards against outdated reports: the director's own observations take precedence.
 #[test]
-fn of_a_member_met_often_others_words_say_little() {
+fn inherited_observations_count_little_for_a_member_with_many_attempts() {
     let mut world = World::new(settings());
     assert!(share(&mut world, 1, 1) > 5);
     told(&mut world, vec![ill(1, 3 * S)]);
@@ -38,15 +40,15 @@
 }
 
 #[test]
-fn a_word_on_an_earlier_process_changes_nothing() {
+fn observations_of_an_earlier_process_change_nothing() {
     let mut world = World::new(settings());
     told(&mut world, vec![InheritedMember { started: 5, ..ill(1, 3 * S) }]);
     assert!(share(&mut world, 1, 1) > 5);
 }
 
-/// A limit that others found holds the newcomer back before it has met the jam itself.
+/// A limit that others found applies to a new director before it has detected the congestion itself.
 #[test]
-fn an_inherited_limit_holds_until_answers_come_in_time() {
+fn an_inherited_limit_applies_from_the_first_request() {
     let open = |prior: Option<f64>| {
         let mut world = World::new(Settings { zone_directors: vec![0, 1], ..settings() });
         if let Some(limit) = prior {
@@ -62,9 +64,10 @@
     assert_eq!((open(None), open(Some(4.0))), (60, 16));
 }
 
-/// Guards against a refill after a restart: what others have seen is kept from the first request on.
+/// Guards against filling the caches again after a restart: objects that others have seen are kept from the first
+/// request on.
 #[test]
-fn what_others_saw_lately_is_kept_at_once_and_passed_on_by_nobody() {
+fn objects_seen_by_others_are_kept_at_once_and_not_reported_again() {
     let mut donor = World::with(Settings { zone_directors: vec![0, 1], ..settings() }, fleet());
     donor.serve(1, "popular");
     let report = donor.director.report(donor.now);
@@ -73,15 +76,15 @@
     world.tell(Event::Inherited(Inherited { seen: report.seen[0].clone(), ..Inherited::default() }));
     assert_eq!(world.serve(1, "popular").keep, Keep::Middle);
     assert_eq!(world.serve(2, "other").keep, Keep::Pass);
-    // It asked for one itself: that is what it tells; the word that it took over is not its own.
+    // A director reports only the objects requested of it, not the inherited ones.
     let mut idle = World::with(settings(), fleet());
     idle.tell(Event::Inherited(Inherited { seen: report.seen[0].clone(), ..Inherited::default() }));
     assert_eq!(idle.director.report(idle.now).seen, [Vec::<u64>::new(), vec![]]);
 }
 
-/// Only members that answered something are reported, with how much was seen of them.
+/// Only members at which an attempt has ended are reported, with the number of attempts.
 #[test]
-fn a_report_holds_what_was_met() {
+fn a_report_contains_only_members_with_attempts() {
     let mut world = World::new(settings());
     let cache = world.serve(1, "a").member;
     let report = world.director.report(world.now);
@@ -89,9 +92,9 @@
     assert_eq!(caches, [(cache, 1)]);
 }
 
-/// Guards the rules: no word brings a member that is not listed as ready into use, or an unknown one.
+/// Guards the rules: no inherited observation makes the director use a member that is unknown or not listed as ready.
 #[test]
-fn a_word_brings_no_member_into_use() {
+fn an_inherited_observation_brings_no_member_into_use() {
     let mut fleet = fleet();
     fleet[0].lifecycle = Lifecycle::Draining;
     let mut world = World::with(settings(), fleet);
@@ -105,9 +108,9 @@
     assert_eq!(share(&mut world, 1, 1) + share(&mut world, 100, 77), 0);
 }
 
-/// What others found that all fills together, and the origin, bear holds the newcomer's first fills back.
+/// The limits that others found for all fills, and for fills by the origin, apply to a new director's first fills.
 #[test]
-fn an_inherited_limit_of_fills_holds() {
+fn an_inherited_limit_of_fills_applies() {
     let fills = |told: Option<[f64; 2]>| {
         let mut world = World::new(Settings { zone_directors: vec![0, 1], ..settings() });
         if let Some(limits) = told {
@@ -118,7 +121,7 @@
         let filled = sent.iter().filter(|s| s.source != s.member);
         (filled.clone().filter(|s| !s.mode.held_only).count(), filled.count())
     };
-    // Without a word: the newcomer's part, of two directors, of the first guess.
+    // Without inherited limits: the new director's share, one of two, of the initial limit.
     assert_eq!(fills(None), (40, 40));
     assert_eq!(fills(Some([12.0, 5.0])), (5, 12));
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,11 +1,12 @@
-//! What keeps the decisions readable: the module may be as long as it has to be, each function is short and each line fits.
+//! Keeps the decision module readable: the file may be of any length, but functions and lines are limited.
 
+/// Maximum number of characters of a line.
 const LONGEST_LINE: usize = 110;
-/// Lines of a function with its signature.
+/// Maximum number of lines of a function, signature included.
 const LONGEST_FUNCTION: usize = 66;
 const MODULE: &str = include_str!("../src/choice.rs");
 
-/// Functions of the module's, with the number of their lines.
+/// Functions of the module with their number of lines.
 fn functions() -> Vec<(&'static str, usize)> {
     let lines: Vec<&str> = MODULE.lines().collect();
     let starts = |line: &str| {
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,15 +1,16 @@
-//! The shared hash: cache and parent of an object, ramp, moves.
+//! Placement by the shared hash: cache and parent of an object, effects of the cold-start ramp and of list changes.
 
 mod common;
 use bitternhold::*;
 use common::*;
 
+/// First attempts of requests for `n` objects.
 fn homes(world: &mut World, n: u128) -> Vec<Sent> {
     (0..n).map(|i| world.serve(i, &format!("object-{i}"))).collect()
 }
 
 #[test]
-fn all_directors_choose_alike_and_spread() {
+fn all_directors_choose_the_same_members_and_spread_the_objects() {
     let (mut a, mut b) = (World::new(settings()), World::new(Settings { index: 1, ..settings() }));
     b.director = Director::new(99, Settings { index: 1, ..settings() });
     b.tell(Event::Members { kind: ListKind::Cached, members: fleet() });
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn an_objects_fills_meet_at_one_parent() {
+fn all_caches_fill_an_object_from_the_same_parent() {
     let mut here = World::new(settings());
     let mut there = World::new(Settings { zone: 0, zone_hub: vec![1, 1], ..settings() });
     let mut caches = fleet();
@@ -44,11 +45,11 @@
 }
 
 #[test]
-fn the_share_of_a_started_cache_rises() {
+fn the_share_of_a_cache_rises_after_its_start() {
     let share = |age: Micros| {
         let mut members = fleet();
         members[0].started = 100 * S - age;
-        // A wide budget, so that the ramp alone shows.
+        // A large budget, so that only the ramp limits the share.
         let mut w = World::with(Settings { fall_multiple: 1e6, ..settings() }, members);
         homes(&mut w, 400).iter().filter(|s| s.member == MemberId(1)).count()
     };
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn an_overfull_cache_is_passed_over() {
+fn an_overloaded_cache_is_avoided() {
     let mut w = World::new(settings());
     let members: Vec<MemberId> = (0..20).map(|i| sent(&w.ask(i, "hot")).member).collect();
     assert!(members.iter().any(|m| *m != members[0]));
@@ -76,7 +77,7 @@
     assert!(seen.iter().any(|s| s.member != seen[0].member));
     assert!(seen.iter().all(|s| s.source == seen[0].source));
     assert_ne!(seen[0].keep, Keep::Middle);
-    assert_eq!(seen[1].keep, Keep::Middle, "the object is the filter's id");
+    assert_eq!(seen[1].keep, Keep::Middle, "the filter's id is that of the object, not of its part");
 }
 
 #[test]
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,4 @@
-//! Seeded random orders of events: never a panic, and the rules that events alone can show.
+//! Random sequences of events by seed: no panic, and the rules that can be checked from events alone.
 
 mod common;
 use std::collections::BTreeMap;
@@ -103,13 +103,13 @@
         for action in &out {
             match *action {
                 Action::Fetch { id, member, source, max_age, until, .. } => {
-                    let case = cases.get_mut(&id.0).expect("a request that was given");
-                    assert_eq!(case.answers, 0, "nothing after the answer");
+                    let case = cases.get_mut(&id.0).expect("a known request");
+                    assert_eq!(case.answers, 0, "no attempt after the final answer");
                     assert!(case.out.is_empty(), "one attempt at a time");
                     assert!(until <= case.valid_until && w.now < case.valid_until);
                     assert_eq!(state[&member.0], Lifecycle::Ready);
                     assert!(source == member || state[&source.0] == Lifecycle::Ready);
-                    assert!(case.effect != 2 || !case.may_have_run, "no double effect");
+                    assert!(case.effect != 2 || !case.may_have_run, "no double execution");
                     if let Some(at) = purged.get(&case.group).filter(|at| w.now - **at <= 6 * S) {
                         assert!(max_age.is_some_and(|age| age > 0 && (age == 1 || age < w.now - at)));
                     }
@@ -130,14 +130,14 @@
         all.extend(out);
         for (id, case) in &cases {
             assert!(case.answers <= 1, "{id}: one final answer");
-            assert!(case.answers == 1 || !case.out.is_empty(), "{id}: held with nothing under way");
+            assert!(case.answers == 1 || !case.out.is_empty(), "{id}: open without an attempt in flight");
         }
     }
     all
 }
 
 #[test]
-fn rules_hold_in_any_order_of_events() {
+fn the_rules_hold_for_random_sequences_of_events() {
     for seed in 0..120 {
         run(seed);
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,20 +1,20 @@
-//! The five rules and the failures found, by events alone.
+//! The five rules, and the failures found in simulations and incidents, tested by events alone.
 
 mod common;
 use bitternhold::*;
 use common::*;
 
-// ---- Answered once ----
+// ---- One final answer ----
 
 #[test]
-fn an_empty_list_is_answered_at_once_with_advice() {
+fn without_members_a_request_is_refused_at_once_with_a_retry_delay() {
     let mut w = World::with(settings(), Vec::new());
     let out = w.ask(1, "a");
     assert!(matches!(out[..], [Action::Refuse { wait, .. }] if wait > 0), "{out:?}");
 }
 
 #[test]
-fn a_time_out_at_the_deadline_is_answered_at_once() {
+fn a_timeout_at_the_deadline_is_answered_at_once() {
     let mut w = World::new(settings());
     let s = sent(&w.ask(1, "a"));
     w.now += 3 * S;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn nothing_is_said_after_the_client_left() {
+fn nothing_is_sent_after_the_client_disconnected() {
     let mut w = World::new(settings());
     let s = sent(&w.ask(1, "a"));
     assert!(w.tell(Event::ClientGone { id: RequestId(1) }).is_empty());
@@ -32,9 +32,9 @@
     assert!(sends(&out).is_empty() && !refused(&out) && !failed(&out));
 }
 
-/// Guards against work that nobody waits for: what is out for a client that left is cancelled, where allowed.
+/// Guards against work that nobody waits for: attempts of a client that disconnected are cancelled, where allowed.
 #[test]
-fn what_is_out_for_a_client_that_left_is_cancelled() {
+fn attempts_of_a_client_that_disconnected_are_cancelled() {
     let mut w = World::new(Settings { cancel: true, ..settings() });
     let s = sent(&w.ask(1, "a"));
     sent(&w.end(1, 0, s.member, Status::Reset));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn tries_end_and_retries_have_a_budget() {
+fn attempts_are_limited_and_retries_have_a_budget() {
     let mut w = World::new(Settings { max_attempts: 3, ..settings() });
     let mut attempts = 0;
     for id in 0..200 {
@@ -56,17 +56,17 @@
         assert!(n <= 3 && (refused(&out) || n == 0));
         attempts += n;
     }
-    assert!(attempts < 200 + 60, "a fault that hits all must not double the load: {attempts}");
+    assert!(attempts < 200 + 60, "a fault of all members must not double the load: {attempts}");
 }
 
-// ---- No double effect ----
+// ---- No double execution ----
 
 fn with_effect(effect: Effect, group: DedupGroup) -> World {
     World::new(Settings { classes: vec![Class { effect, group, ..class() }], ..settings() })
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed() {
+fn an_at_most_once_request_that_may_have_run_fails() {
     for status in [Status::Timeout, Status::Reset, Status::Error, Status::Cancelled] {
         let mut w = with_effect(Effect::AtMostOnce, DedupGroup::All);
         let s = sent(&w.ask(1, "a"));
@@ -76,25 +76,25 @@
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_goes_on() {
+fn an_at_most_once_request_that_never_ran_is_sent_again() {
     let mut w = with_effect(Effect::AtMostOnce, DedupGroup::All);
     let s = sent(&w.ask(1, "a"));
     assert_ne!(sent(&w.end(1, 0, s.member, Status::ConnectFailed)).member, s.member);
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_cell_and_window() {
+fn a_deduplicated_request_is_repeated_only_in_its_cell_and_window() {
     let mut w = with_effect(Effect::Deduplicated, DedupGroup::Cell);
     let s = sent(&w.ask(1, "a"));
     let next = sent(&w.end(1, 0, s.member, Status::Reset));
     assert_eq!(next.member.0 % 2, s.member.0 % 2);
     w.now += 2 * S;
     let out = w.end(1, 1, next.member, Status::Reset);
-    assert!(failed(&out), "past the window, in a cell: no send, no refusal");
+    assert!(failed(&out), "after the window of its cell: neither sent nor refused");
 }
 
 #[test]
-fn a_class_not_met_before_is_taken_for_unsafe() {
+fn an_unknown_class_is_treated_as_at_most_once() {
     let mut w = World::new(settings());
     let r = Request { class: usize::MAX, ..request(1, "a", w.now) };
     let s = sent(&w.tell(Event::Request(r)));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_write_runs_at_the_origin_and_leaves_the_filter_alone() {
+fn a_write_runs_at_the_origin_and_is_not_recorded_in_the_filter() {
     let mut w = World::new(settings());
     let r = Request { write: true, ..request(1, "a", w.now) };
     let s = sent(&w.tell(Event::Request(r)));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_full_list_drops_who_is_absent_and_a_return_counts() {
+fn a_full_list_removes_absent_members_and_they_can_return() {
     let mut w = World::new(settings());
     let rest: Vec<Member> = fleet().into_iter().filter(|m| m.id.0 != 1).collect();
     w.tell(Event::Members { kind: ListKind::Full, members: rest });
@@ -139,7 +139,7 @@
 
 // ---- Cold members ----
 
-/// Sends of a burst to member 1 (cache) or 11 (parent), just started, in one window.
+/// Work sent to the cold member, 1 (cache) or 11 (parent), in one window of a burst, in seconds of sending time.
 fn burst(settings: Settings, cold: u64, n: u128) -> f64 {
     let mut members = fleet();
     members.iter_mut().filter(|m| m.id.0 == cold).for_each(|m| m.started = 100 * S - 1);
@@ -156,21 +156,21 @@
 }
 
 #[test]
-fn a_cold_cache_gets_no_more_than_this_directors_part() {
-    // 10 transfers, a fifth of them, twice that, for two seconds, shared by two directors.
+fn a_cold_cache_gets_no_more_than_this_directors_share() {
+    // 10 transfers, a fifth of them when cold, the overload multiple of 2, for two seconds, shared by two directors.
     let sent = burst(settings(), 1, 3_000);
     assert!(sent > 0.5 && sent <= 10.0 * 0.2 * 2.0 * 2.0 / 2.0, "{sent}");
 }
 
 #[test]
-fn a_cold_parent_gets_no_more_fills_than_this_directors_part() {
+fn a_cold_parent_gets_no_more_fills_than_this_directors_share() {
     let sent = burst(settings(), 11, 3_000);
     assert!(sent > 0.5 && sent <= 10.0 * 0.1 * 2.0 * 2.0 / 2.0, "{sent}");
 }
 
-/// Found on a drawn overload day: what was turned away had counted as what a warm cache takes.
+/// Guards against rejected attempts counting towards the rate of a warm cache. Found in a generated overload scenario.
 #[test]
-fn what_is_turned_away_does_not_widen_a_cold_budget() {
+fn rejected_attempts_do_not_increase_a_cold_budget() {
     let mut members = fleet();
     members[0].started = 100 * S - 1;
     let mut w = World::with(Settings { weights: Weights::Unknown, ..settings() }, members);
@@ -182,13 +182,14 @@
             w.end(id, 0, s.member, Status::Full);
         }
     }
-    // Nothing was ever served: one attempt a window finds out.
+    // Nothing was ever served: only about one attempt per window is sent.
     assert!(cold <= 8, "{cold}");
 }
 
-/// visayas-shops-later: each of 190 directors sent one fill a window to a parent that had just started.
+/// Guards against many directors that each send one attempt per window to a cold member. In scenario
+/// visayas-shops-later 190 directors did so with fills from a parent that had just started.
 #[test]
-fn many_directors_together_keep_a_cold_budget_and_do_not_starve_it() {
+fn many_directors_together_keep_a_cold_budget_and_make_use_of_it() {
     for (cold, weights) in [(11, Weights::Nominal), (1, Weights::Nominal), (11, Weights::Unknown)] {
         let n = 60;
         let s = Settings { directors: n, zone_directors: vec![0, n], weights, ..settings() };
@@ -213,8 +214,8 @@
                 }
             }
         }
-        // 10 transfers, the part it has at the window's start, twice that, for two seconds.
-        // Where weights say nothing only the start can be checked: what a warm one takes is learnt here.
+        // 10 transfers, the member's share of capacity at the window's start, the overload multiple of 2, for two
+        // seconds. Without weights only the start can be checked, as the rate of a warm member is learnt.
         let checked = if weights == Weights::Unknown { 2 } else { 5 };
         for (i, sent) in windows.iter().enumerate().take(checked) {
             let part = if cold == 11 { 0.1 + 0.9 * i as f64 / 10.0 } else { 0.2 + 0.8 * i as f64 / 5.0 };
@@ -227,12 +228,12 @@
 // ---- Purges ----
 
 #[test]
-fn after_a_purge_the_accepted_age_is_small_and_never_zero() {
+fn after_a_purge_the_maximum_age_is_small_and_never_zero() {
     let mut w = World::new(settings());
     w.tell(Event::Purged { object: Some("a".into()), group: 7, age: 0 });
     let s = w.serve(1, "a");
     assert!(s.max_age.is_some_and(|age| (1..=MS).contains(&age)));
-    assert!(!s.mode.join, "a fill under way may be from before");
+    assert!(!s.mode.join, "a running fill may have started before the purge");
     assert_eq!(w.serve(2, "b").max_age, None);
     w.now += 2 * S;
     assert!(w.serve(3, "a").max_age.is_some_and(|age| age < 2 * S && age > S));
@@ -247,13 +248,13 @@
     w.tell(Event::Purged { object: None, group: 7, age: 300 * MS });
     assert!(w.serve(1, "a").max_age.is_some_and(|age| age < 100 * MS));
     assert!(w.serve(2, "b").max_age.is_some_and(|age| age < 300 * MS && age > 100 * MS));
-    // Told again, out of order: the newer one stands.
+    // An older purge that is reported later doesn't replace the newer one.
     w.tell(Event::Purged { object: Some("a".into()), group: 7, age: 5 * S });
     assert!(w.serve(3, "a").max_age.is_some_and(|age| age < 100 * MS));
 }
 
-/// A feed that may have missed purges: no copy as old is asked for or served, of whatever object; a later purge of an
-/// object goes before.
+/// After a feed that may have missed purges, no copy old enough to be affected is accepted, whatever the object. A
+/// later purge of an object is the stricter one.
 #[test]
 fn a_purge_of_every_group_covers_all_objects() {
     let mut w = World::new(settings());
@@ -262,11 +263,11 @@
     assert!(w.serve(1, "a").max_age.is_some_and(|age| age < 100 * MS));
     assert!(w.serve(2, "b").max_age.is_some_and(|age| age < 3 * S && age > 2 * S));
     w.now += 10 * S;
-    assert_eq!(w.serve(3, "b").max_age, None, "all older copies are dropped by then");
+    assert_eq!(w.serve(3, "b").max_age, None, "all older copies are dropped by now");
 }
 
 #[test]
-fn the_fresh_time_caps_the_age_after_a_purge() {
+fn the_fresh_time_limits_the_maximum_age_after_a_purge() {
     let mut w = World::new(Settings { classes: vec![Class { fresh: S, ..class() }], ..settings() });
     w.tell(Event::Purged { object: None, group: 7, age: 4 * S });
     assert_eq!(w.serve(1, "a").max_age, Some(S));
@@ -275,7 +276,7 @@
 // ---- Failures found ----
 
 #[test]
-fn a_dead_cache_is_set_aside_and_comes_back_by_a_trickle() {
+fn a_dead_cache_is_quarantined_and_returns_after_probation() {
     let mut w = World::new(settings());
     let mut id = 0;
     let mut try_once = |w: &mut World, dead: bool| {
@@ -292,8 +293,8 @@
     assert!((0..80).filter(|_| try_once(&mut w, false)).count() > 5);
 }
 
-/// Guards against setting caches aside for requests that nobody can use: they are given up after two errors
-/// and speak against nobody. An error that another cache can answer does.
+/// Guards against quarantining caches for invalid requests: such a request is given up after two errors, which count
+/// against no member. An error counts if another cache answers the request successfully.
 #[test]
 fn an_error_counts_only_where_another_member_answers_well() {
     let answer = |w: &mut World, id: u128, sick: Option<MemberId>| {
@@ -308,7 +309,7 @@
                 _ => return (n + 1, refused(&out), set_aside),
             }
         }
-        panic!("goes on after two errors");
+        panic!("sent again after two errors");
     };
     let mut w = World::new(settings());
     for id in 0..100 {
@@ -316,12 +317,13 @@
         assert_eq!(answer(&mut w, 1000 + id, Some(MemberId(99))), (1, false, false));
     }
     assert_eq!(answer(&mut w, 5000, None), (2, true, false));
-    assert!((2000..2100).any(|id| answer(&mut w, id, Some(MemberId(1))).2), "an ill one is told");
+    assert!((2000..2100).any(|id| answer(&mut w, id, Some(MemberId(1))).2), "a faulty member is quarantined");
 }
 
-/// Incident i366bc3: parents that all refused were set aside together, and the origin got their fills.
+/// Guards against quarantining all parents when they all refuse, which sends their fills to the origin (incident
+/// i366bc3).
 #[test]
-fn parents_that_all_fail_alike_are_not_passed_over_for_the_origin() {
+fn parents_that_all_fail_alike_are_not_replaced_by_the_origin() {
     let mut w = World::new(settings());
     let mut origin = 0;
     for id in 0..300 {
@@ -335,9 +337,10 @@
     assert_eq!(origin, 0);
 }
 
-/// visayas rough-1: without notes the next attempt went to another cache and the same dead parent.
+/// Guards against a retry at another cache that uses the same dead parent, as happened without notes in scenario
+/// visayas rough-1.
 #[test]
-fn without_notes_a_refusal_speaks_against_the_source_first() {
+fn without_notes_a_refusal_counts_against_the_source_first() {
     let mut w = World::new(Settings { tells: Tells::Hit, ..settings() });
     let first = sent(&w.ask(1, "a"));
     let next = sent(&w.end(1, 0, first.member, Status::Full));
@@ -345,7 +348,7 @@
     assert_ne!(next.source, first.source);
 }
 
-/// Incidents i5782bb and i4eee0b: hits late on full links, for good.
+/// Guards against hits that stay late because the cache's link is full (incidents i5782bb and i4eee0b).
 #[test]
 fn a_cache_whose_hits_come_late_gets_fewer_attempts() {
     let held = |late: bool| {
@@ -363,9 +366,10 @@
     assert!(jammed <= 4 && calm >= 25, "{jammed} {calm}");
 }
 
-/// visayas big-2: fills that all come late; caches go on giving what they hold, misses wait their turn.
+/// While all fills are late, caches must still answer from the copies they hold, and only a few misses may be filled
+/// (scenario visayas big-2).
 #[test]
-fn late_fills_leave_looks_and_a_few_fills() {
+fn while_fills_are_late_lookups_and_a_few_fills_remain() {
     let mut w = World::new(settings());
     for id in 0..200 {
         w.now += 50 * MS;
@@ -388,12 +392,12 @@
     assert!(refused(&w.end(id, 0, s.member, Status::Miss)), "no room for its fill");
     let (id, s) = looks[2];
     let o = Outcome { note: Some(Note::Joined), ..outcome(id, 0, s.member, Status::Miss) };
-    assert!(sent(&w.tell(Event::Outcome(o))).mode.join, "a fill is under way: joined");
+    assert!(sent(&w.tell(Event::Outcome(o))).mode.join, "the running fill is joined");
 }
 
-/// mindanao rough-1: a slow origin; parents go on giving what they hold.
+/// With a slow origin, parents must still serve fills from the copies they hold (scenario mindanao rough-1).
 #[test]
-fn late_fills_by_the_origin_leave_those_by_the_parents_copies() {
+fn while_fills_by_the_origin_are_late_fills_from_parents_copies_remain() {
     let mut w = World::new(settings());
     for id in 0..200 {
         w.now += 50 * MS;
@@ -408,12 +412,12 @@
     let held: Vec<&(u128, Sent)> = all.iter().filter(|(_, s)| s.mode.held_only).collect();
     assert!(held.len() >= 6 && held.iter().all(|(_, s)| [11, 12].contains(&s.source.0)));
     let (id, s) = *held[0];
-    assert!(refused(&w.end(id, 0, s.member, Status::Miss)), "no room on the way to the origin");
+    assert!(refused(&w.end(id, 0, s.member, Status::Miss)), "no room for a fill by the origin");
 }
 
-/// A refused client is told to come back while its next try can still be in time.
+/// A refused client is told to retry while its next request can still be in time.
 #[test]
-fn the_wait_advised_is_short_against_the_aim() {
+fn the_retry_delay_is_short_compared_with_the_aim() {
     let mut w = World::with(settings(), Vec::new());
     for id in 0..20 {
         let out = w.ask(id, "a");
@@ -422,7 +426,7 @@
 }
 
 #[test]
-fn asked_discovery_subscribes_and_asks_again() {
+fn discovery_on_request_subscribes_and_retries_after_a_failure() {
     let settings = Settings { discovery: Discovery::OnRequest, ..settings() };
     let mut w = World { director: Director::new(1, settings), now: S };
     let out = w.tell(Event::Members { kind: ListKind::Cached, members: fleet() });
@@ -433,7 +437,7 @@
 }
 
 #[test]
-fn a_stream_that_has_begun_is_the_clients() {
+fn after_a_stream_has_begun_nothing_more_is_decided() {
     let mut w = World::new(settings());
     let s = sent(&w.ask(1, "a"));
     assert!(w.tell(Event::Streaming { id: RequestId(1), attempt: 0 }).is_empty());
@@ -442,9 +446,10 @@
     assert!(sends(&out).is_empty() && !refused(&out) && !failed(&out));
 }
 
-/// mindanao-shops-later overload: lost answers held their places until the client's end, and limits refused.
+/// Guards against lost answers that count as in flight until the client's deadline, so that requests are refused at the
+/// limits (scenario mindanao-shops-later overload).
 #[test]
-fn an_overdue_attempt_gives_its_place_back_and_a_second_copy_only_looks() {
+fn an_overdue_attempt_leaves_the_limit_and_its_second_copy_is_a_lookup() {
     let mut w = World::new(Settings { second_copies: true, cancel: true, ..settings() });
     for id in 0..40 {
         w.serve(id, &format!("o{id}"));
@@ -460,17 +465,17 @@
     let (delay, token) = timer(&out).expect("a timer watches the attempt");
     w.now += delay;
     let copy = sent(&w.tell(Event::Timer { token }));
-    assert_eq!((copy.member, copy.source), (first.member, first.member), "looks at the same cache");
+    assert_eq!((copy.member, copy.source), (first.member, first.member), "lookup at the same cache");
     let out = w.end(100, 1, copy.member, Status::Ok);
     assert!(matches!(out[..], [Action::Cancel { attempt: 0, .. }]), "{out:?}");
     assert!(w.end(100, 0, first.member, Status::Cancelled).is_empty());
-    // Without second copies nothing is sent, but the place is free again.
+    // Without second copies nothing is sent, but the overdue attempts no longer count against the limit.
     let mut w = World::with(settings(), vec![member(1, CACHE), member(20, ORIGIN)]);
     let mut tokens = Vec::new();
     for id in 0..100 {
         tokens.extend(timer(&w.ask(id, &format!("o{id}"))));
     }
-    assert!(refused(&w.ask(200, "b")), "all places taken");
+    assert!(refused(&w.ask(200, "b")), "the limit is used up");
     w.now += tokens[0].0;
     for (_, token) in tokens {
         assert!(sends(&w.tell(Event::Timer { token })).is_empty());
@@ -478,7 +483,7 @@
     assert_eq!(sends(&w.ask(201, "b")).len(), 1);
 }
 
-/// refund-counters-later: a cache that resets a third of its answers; the copy is there for the next attempt.
+/// A cache that resets a third of its answers has the copy for the next attempt (scenario refund-counters-later).
 #[test]
 fn after_a_reset_the_same_cache_is_asked_again_but_not_a_third_time() {
     let mut w = World::new(settings());
@@ -488,10 +493,9 @@
     assert_ne!(sent(&w.end(1, 1, second.member, Status::Reset)).member, first.member);
 }
 
-/// visayas-shops-later big-1: caches that grow slower and slower.
-/// Guards against blaming members for clients of little patience: a time-out before the aim says nothing.
+/// Guards against blaming members for short client deadlines: a timeout before the aim is no fault.
 #[test]
-fn a_time_out_before_the_aim_sets_nobody_aside() {
+fn a_timeout_before_the_aim_quarantines_no_member() {
     for (elapsed, aside) in [(50 * MS, false), (2 * S, true)] {
         let mut w = World::new(settings());
         let mut logged = false;
@@ -508,10 +512,10 @@
     }
 }
 
-/// Guards against taking clients of little patience for a jam: a time-out soon after the aim cuts no limit, also
-/// while answers come late; nor does any where none does.
+/// Guards against taking short client deadlines for congestion: a timeout soon after the aim reduces no limit, even
+/// while answers are late, and no timeout does while none are.
 #[test]
-fn a_time_out_counts_as_late_only_where_the_attempt_had_time() {
+fn a_timeout_counts_as_late_only_if_the_attempt_had_time() {
     let fills = |jam: bool, elapsed| {
         let mut w = World::new(settings());
         let out: Vec<_> =
@@ -537,8 +541,9 @@
     assert!(calm >= 20 && short >= 8 && long < 4, "{calm} {short} {long}");
 }
 
+/// Guards against caches that become slower and slower (scenario visayas-shops-later big-1).
 #[test]
-fn a_cache_whose_hits_come_late_is_passed_over_if_it_stands_out() {
+fn a_cache_whose_hits_come_late_is_avoided_if_it_is_an_outlier() {
     let mut w = World::new(settings());
     let mut late = |from: u128, slow: u64| {
         (from..from + 200)
@@ -555,9 +560,9 @@
     assert!(first < 25, "{first}");
 }
 
-/// Incident ie4b8b5: parents that answer nothing; only the caches before them were blamed.
+/// Guards against blaming only the caches in front of parents that never answer (incident ie4b8b5).
 #[test]
-fn a_parent_whose_fills_hang_is_passed_over() {
+fn a_parent_whose_fills_hang_is_avoided() {
     let mut w = World::new(settings());
     let mut hung = 0;
     for id in 0..300 {
@@ -581,7 +586,7 @@
     assert!(hung < 30, "{hung}");
 }
 
-/// mindanao-shops-later: one fill each of two hundred directors is too much for a slow origin.
+/// One fill from each of two hundred directors is too much for a slow origin (scenario mindanao-shops-later).
 #[test]
 fn a_limit_falls_below_one_attempt() {
     let mut w = World::with(settings(), vec![member(1, CACHE), member(20, ORIGIN)]);
@@ -597,9 +602,10 @@
     assert!((10..100).contains(&sent), "{sent}");
 }
 
-/// mindanao-shops-later big-2: each of seven directors at a location learnt a jam by its own few answers alone.
+/// Guards against slow detection of congestion where each of several directors sees only a few answers: seven at a
+/// location in scenario mindanao-shops-later big-2.
 #[test]
-fn one_of_several_directors_meets_a_jam_after_fewer_answers() {
+fn one_of_several_directors_detects_congestion_after_fewer_answers() {
     let until_refused = |n: u32| {
         let settings = Settings { zone_directors: vec![0, n], ..settings() };
         let mut w = World::with(settings, vec![member(1, CACHE), member(20, ORIGIN)]);
@@ -614,9 +620,10 @@
     assert!(several * 2 < alone, "{several} {alone}");
 }
 
-/// Incident ie4b8b5: what hung at a source that was set aside held the fills from all others down.
+/// Guards against attempts that hang at a quarantined source and reduce the limit of the fills from all other sources
+/// (incident ie4b8b5).
 #[test]
-fn a_source_set_aside_does_not_hold_the_others_fills_down() {
+fn a_quarantined_source_does_not_reduce_the_fills_from_others() {
     let mut w = World::new(settings());
     let all: Vec<(u128, Sent)> = (0..28).map(|id| (id, sent(&w.ask(id, &format!("o{id}"))))).collect();
     let (hung, well): (Vec<_>, Vec<_>) = all.into_iter().partition(|(_, s)| s.source == MemberId(11));
@@ -637,9 +644,10 @@
     assert!(filled >= 4, "{filled}");
 }
 
-/// Incident i81b241: whole locations died and came back cold before the list told, and were pushed over.
+/// Guards against overloading caches that restart cold before the list says so, as happened when whole locations failed
+/// (incident i81b241).
 #[test]
-fn a_cache_that_gave_no_connection_twice_is_taken_for_just_started() {
+fn a_cache_with_two_failed_connections_is_treated_as_just_started() {
     let mut w = World::with(settings(), vec![member(1, CACHE), member(20, ORIGIN)]);
     for id in 0..3 {
         w.ask(id, &format!("o{id}"));
@@ -654,12 +662,14 @@
         }
         sent
     });
-    // 10 transfers, a fifth of them, twice that for two seconds, shared by two: 4 seconds' work at 0.1 each.
+    // 10 transfers, a fifth of them when cold, the overload multiple of 2, for two seconds, shared by two directors: 4
+    // seconds of work at 0.1 each.
     let sent = sent.count();
     assert!((1..40).contains(&sent), "{sent}");
 }
 
-/// Members come and go for as long as a director runs; what it knows of gone ones is let go.
+/// Guards against unbounded state: members come and go as long as a director runs, and it must forget those that are
+/// gone.
 #[test]
 fn state_stays_bounded_while_members_come_and_go() {
     let mut w = World::new(settings());
@@ -685,12 +695,12 @@
     assert!(sizes[599] < sizes[100] * 3 / 2, "{} {}", sizes[100], sizes[599]);
 }
 
-// ---- Copies of its own ----
+// ---- Own copies ----
 
-/// Guards against copies that are purged or too old, against a jam on the director's own link, and against
-/// answering a write from memory; rather than refuse, an ageing copy is served.
+/// Guards against own copies that are purged or too old, against congestion of the router's own link, and against
+/// answering a write from memory. A stale copy is served rather than refusing the request.
 #[test]
-fn an_own_copy_is_served_while_it_holds_and_comes_soon() {
+fn an_own_copy_is_served_while_it_is_valid_and_arrives_soon() {
     let class = Class { fresh: 5 * S, stale: 30 * S, ..class() };
     let settings = || Settings { classes: vec![class.clone()], ..settings() };
     let ask = |w: &mut World, id: u128, own: Own, write: bool| {
@@ -710,13 +720,13 @@
     let mut nobody = World::with(settings(), Vec::new());
     assert!(served(&ask(&mut nobody, 1, Own { age: 20 * S, ..good }, false)));
     assert!(refused(&ask(&mut nobody, 2, Own { age: 40 * S, ..good }, false)));
-    // Late on the own link it would keep others waiting and earn next to nothing.
+    // A late copy would delay others on the router's link and earn almost nothing.
     assert!(refused(&ask(&mut nobody, 3, Own { age: 20 * S, wait: 2 * S, ..good }, false)));
 }
 
-/// Guards against refusals at a high rate while nothing is late: a limit that was never cut soon follows.
+/// Guards against refusals at a high request rate while nothing is late: a limit that was never reduced rises quickly.
 #[test]
-fn limits_follow_a_rising_rate_while_answers_come_in_time() {
+fn limits_follow_a_rising_rate_while_answers_are_in_time() {
     let mut w = World::new(settings());
     let mut fills = Vec::new();
     for round in 0..10u128 {
@@ -731,13 +741,13 @@
             w.tell(Event::Outcome(Outcome { note: Some(note), ..outcome(id, 0, s.member, Status::Ok) }));
         }
     }
-    // Sixty are the part of one of two in the first guess.
+    // Sixty is the share of one of two directors in the initial limit.
     assert!(fills[0] <= 61 && fills[9] > 120, "{fills:?}");
 }
 
-/// Guards against refusing on after a jam has passed: while nothing is late any more, a cut limit soon follows.
+/// Guards against refusals after congestion has passed: while nothing is late any more, a reduced limit rises quickly.
 #[test]
-fn limits_recover_soon_after_a_jam_has_passed() {
+fn limits_recover_soon_after_congestion() {
     let mut w = World::new(settings());
     let mut fills = Vec::new();
     for round in 0..20u128 {
@@ -746,7 +756,7 @@
             ids.filter_map(|id| Some((id, *sends(&w.ask(id, &format!("o{id}"))).first()?))).collect();
         fills.push(out.iter().filter(|(_, s)| s.source != s.member).count());
         for (id, s) in out {
-            // Cuts count once in a while; spread over the rounds of the jam they bring the limit down.
+            // Reductions have a minimum interval; spread over the rounds of congestion they lower the limit.
             w.now += if round < 5 { 50 * MS } else { MS };
             let note = Some(if s.source == s.member { Note::Hit } else { Note::Filled });
             let late = round < 5 && s.source != s.member;
@@ -757,8 +767,8 @@
     assert!(fills[5] <= 12 && fills[19] >= 25, "{fills:?}");
 }
 
-/// Guards against one parent whose link is full: what it holds comes late, others' fills don't. Its part goes
-/// by the other one, and nobody else is held back for it.
+/// Guards against a parent whose link is full: fills from its own copies are late, others are not. Its share goes to
+/// the other parent, and no other fills are held back.
 #[test]
 fn a_parent_whose_own_copies_come_late_gets_fewer_fills() {
     let mut w = World::new(settings());
@@ -776,10 +786,10 @@
     assert!(of(11) < 40 && of(12) > 140, "{} {}", of(11), of(12));
 }
 
-/// Guards against waiting for a slow origin where an ageing copy earns more: while most fills come late, or where
-/// none has room, copies past their fresh time will do, and are renewed behind their answers.
+/// Guards against waiting for a slow origin where a stale copy earns more: while most fills are late, or there is no
+/// room for one, stale copies are accepted and refreshed after the answer.
 #[test]
-fn ageing_copies_will_do_while_fills_come_late() {
+fn stale_copies_are_accepted_while_fills_are_late() {
     let terms = Class { fresh: 5 * S, stale: 30 * S, stale_worth: 0.7, ..class() };
     let asked = |late: bool| {
         let mut w = World::new(Settings { classes: vec![terms.clone()], ..settings() });
@@ -799,13 +809,13 @@
     assert!(calm.max_age.is_none() && !calm.mode.renew && purged.max_age.is_some_and(|age| age < 3 * S));
     let (slow, purged) = asked(true);
     assert!(slow.max_age == Some(35 * S) && slow.mode.renew, "{slow:?}");
-    assert!(purged.max_age.is_some_and(|age| age < 3 * S), "a purge goes before: {purged:?}");
+    assert!(purged.max_age.is_some_and(|age| age < 3 * S), "a purge takes precedence: {purged:?}");
 }
 
-/// Guards against refusing the classes that can wait for those that can't: a slow origin makes short aims late
-/// however little it is asked.
+/// Guards against refusing classes with long aims because of those with short ones: a slow origin misses short aims
+/// even at low load.
 #[test]
-fn a_slow_origin_is_no_jam_while_long_aims_are_met() {
+fn a_slow_origin_is_not_congested_while_long_aims_are_met() {
     let classes = vec![Class { aim: 100 * MS, aim_stretch: 0.0, ..class() }, class()];
     let mut w = World::new(Settings { classes, ..settings() });
     for id in 0..200 {
@@ -822,10 +832,10 @@
     assert_eq!(fills.count(), 20);
 }
 
-/// Guards against taking lost answers for a jam: while those that come do so in time, the limits stand and second
-/// copies go on making up for the lost ones.
+/// Guards against taking lost answers for congestion: while the other answers are in time, the limits stay and second
+/// copies go on replacing the lost ones.
 #[test]
-fn lost_fills_neither_cut_the_limits_nor_stop_second_copies() {
+fn lost_fills_neither_reduce_the_limits_nor_stop_second_copies() {
     let mut w = World::new(Settings { second_copies: true, ..settings() });
     let (mut copies, mut refusals) = (0, 0);
     for id in 0..400u128 {
@@ -854,8 +864,8 @@
     assert!(copies > 120 && refusals == 0, "{copies} {refusals}");
 }
 
-/// Guards against second copies that are sent when they can't be in time any more: the wait for an answer follows
-/// how long answers take and how much that varies.
+/// Guards against second copies that are sent too late to be in time: the wait for an answer adapts to the answer times
+/// and their variation.
 #[test]
 fn a_second_copy_is_sent_while_it_can_be_in_time() {
     let mut w = World::new(settings());
@@ -868,6 +878,6 @@
         Action::Timer { delay, .. } => Some(*delay),
         _ => None,
     });
-    // The aim of these is 700 ms, a usual answer takes 200: four deviations of 100 are 600, less as copies win.
+    // The aim is 700 ms, the mean answer time 200: plus four deviations of 100 gives 600, less as second copies win.
     assert!(delay.is_some_and(|delay| (300 * MS..500 * MS).contains(&delay)), "{delay:?}");
 }
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -1,5 +1,5 @@
-//! Large requests get their share of answers: limits, second copies, cold budgets and refusals must not fall on them
-//! first. One director before members that serve so many transfers at a time, and sizes that vary widely.
+//! Large requests get their share of answers: limits, second copies, cold budgets and refusals must not affect them
+//! first. One director in front of members with a limited number of parallel transfers, and sizes that vary widely.
 
 mod common;
 
@@ -8,8 +8,10 @@
 use bitternhold::*;
 use common::*;
 
+/// Rate of one transfer, in KB per second.
 const FLOW_KB: f64 = 5_000.0;
-/// A class of large objects and one of small ones, both with sizes from a hundredth of a second of sending on.
+/// Mean sizes in KB, above the minimum, of a class of large objects and one of small ones. The minimum of both takes a
+/// hundredth of a second to send.
 const MEANS: [f64; 2] = [2_000.0, 300.0];
 
 struct Draw(u64);
@@ -21,7 +23,7 @@
     }
 }
 
-/// Turns the end of an attempt that is out into one by cancelling, now.
+/// Replaces the pending outcome of an attempt by a cancellation that is due now.
 fn cancel(due: &mut BTreeMap<(Micros, u64), Event>, now: Micros, id: RequestId, attempt: u32) {
     let is_its = |event: &Event| matches!(event, Event::Outcome(o) if o.id == id && o.attempt == attempt);
     let Some((at, order)) = due.iter().find(|(_, event)| is_its(event)).map(|(key, _)| *key) else { return };
@@ -31,8 +33,8 @@
     due.insert((now, order), Event::Outcome(end));
 }
 
-/// For each class, size and whether it was answered, of every request of so many seconds at this load (1: all that the
-/// four caches' links bear), with or without a slow origin and a cold cache in the middle.
+/// Runs a simulation and returns by class the size of each request and whether it was answered. A load of 1 is the full
+/// capacity of the four caches' links; with `trouble` the origin is slow for a while and a cache restarts cold.
 fn play(load: f64, trouble: bool, seed: u64) -> [Vec<(f64, bool)>; 2] {
     let classes = vec![class(), Class { deadline: 3 * S, aim: 300 * MS, ..class() }];
     let base = Settings {
@@ -45,7 +47,7 @@
     };
     let mut world = World::new(base);
     let mut draw = Draw(seed);
-    // Transfers under way on each link: when they end.
+    // End times of the transfers running on each link.
     let mut links: BTreeMap<u64, Vec<Micros>> = BTreeMap::new();
     let mut due: BTreeMap<(Micros, u64), Event> = BTreeMap::new();
     let (mut served, mut asked) = (BTreeMap::new(), Vec::<(u128, usize, f64)>::new());
@@ -71,7 +73,7 @@
         }
         while arrival < now && now < end {
             let class = usize::from(draw.unit() < 0.5);
-            // 40 transfers at a time in all; a request takes its size over the flow.
+            // 40 parallel transfers in total; a request takes its size divided by the rate of a transfer.
             let mean = (MEANS[0] + MEANS[1]) / 2.0 / FLOW_KB;
             arrival += (-draw.unit().max(1e-9).ln() * mean / (40.0 * load) * 1e6) as Micros + 1;
             next += 1;
@@ -100,7 +102,7 @@
                         let number = attempts.entry(id.0).or_default();
                         let kb = asked[id.0 as usize - 1].2;
                         let mut all = vec![member.0];
-                        // A third is not there and is filled; a slow origin takes two seconds more.
+                        // A third of the attempts miss and are filled; a slow origin takes two seconds longer.
                         let fill = source != member && draw.unit() < 0.33;
                         if fill {
                             all.push(source.0);
@@ -109,7 +111,7 @@
                         for link in all {
                             let busy = links.entry(link).or_default();
                             busy.retain(|at| *at > now);
-                            // Past ten at a time a link is shared.
+                            // Above ten transfers at a time a link is shared.
                             took = took.max((took as f64 * (busy.len() as f64 + 1.0) / 10.0) as Micros);
                             busy.push(now + took);
                         }
@@ -128,7 +130,7 @@
                         *number += 1;
                         due.insert((at, order), Event::Outcome(o));
                     }
-                    // Its end is told, as the program does; the link is busy with it all the same.
+                    // Its end is reported, as the router does; the link stays busy with it.
                     Action::Cancel { id, attempt } => cancel(&mut due, now, id, attempt),
                     Action::Timer { delay, token } => {
                         drop(due.insert((now + delay, order), Event::Timer { token }))
@@ -149,11 +151,13 @@
     requests.iter().filter(|(_, answered)| *answered).count() as f64 / requests.len() as f64
 }
 
-/// At 1.2 times what the links bear, a policy that knows sizes and links and takes what finds a free place answers 0.73
-/// to 0.78 of all, and as much of the largest; this part of all is the least here.
+/// Minimum share of all requests that must be answered. At 1.2 times the capacity of the links, a policy that knows
+/// sizes and links and admits whatever finds a free place answers 0.73 to 0.78 of all requests, and as many of the
+/// largest.
 const LEAST_OF_ALL: f64 = 0.5;
 
-/// Holds the largest tenth (quarter) and the next fifth of each class to this part of the class's answered share.
+/// Checks that of the largest tenth of each class, and of the next fifth, at least this part of the class's answered
+/// share is answered. In classes of fewer than 400 requests these are the largest quarter and the next half.
 fn hold(load: f64, trouble: bool, least: f64) {
     for seed in 1..=12 {
         for (class, mut requests) in play(load, trouble, seed).into_iter().enumerate() {
@@ -179,7 +183,7 @@
     hold(0.95, true, 0.5);
 }
 
-/// More is asked than the links bear.
+/// The load exceeds the capacity of the links.
 #[test]
 fn the_largest_requests_get_their_share_under_overload() {
     hold(1.2, true, 0.5);
