--- a/lab/src/data_path/host.rs
+++ b/lab/src/data_path/host.rs
@@ -5,8 +5,8 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use bitternhold::{
-    Action, Class, Director, Event, ListKind, Member, MemberId, Micros, Note, Outcome, Request, RequestId,
-    Settings, Status, Tells, Weights,
+    Action, Class, Director, Event, ListKind, Member, MemberId, Micros, Note, Notes, Outcome, Request,
+    RequestId, Settings, Status, Weights,
 };
 use rustix::time::{ClockId, clock_gettime};
 
@@ -39,7 +39,7 @@
         aim: 500 * MS,
         aim_stretch: 2.0,
         deadline: 5 * SECOND,
-        window: 2 * SECOND,
+        dedup_window: 2 * SECOND,
         worth: 1.0,
         ..Class::default()
     };
@@ -53,23 +53,23 @@
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
         flow_kb_per_s: 5_000.0,
-        joins: true,
-        tells: Tells::All,
+        join_fills: true,
+        notes: Notes::All,
         weights: Weights::Nominal,
         second_copies: true,
         cancel: true,
         max_attempts: 6,
         max_retry_after: SECOND,
         drain_grace: 2 * SECOND,
-        cold_from: 0.2,
-        cold_time: 10 * SECOND,
-        fall_multiple: 2.0,
-        fall_window: 2 * SECOND,
-        parent_cold_from: 0.1,
-        parent_cold_time: 20 * SECOND,
-        parent_fall_multiple: 2.0,
+        cold_start_share: 0.2,
+        cold_duration: 10 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: 2 * SECOND,
+        parent_cold_start_share: 0.1,
+        parent_cold_duration: 20 * SECOND,
+        parent_overload_multiple: 2.0,
         purge_grace: 500 * MS,
-        purge_done: 9_200 * MS,
+        purge_complete_within: 9_200 * MS,
         ..Settings::default()
     }
 }
@@ -143,7 +143,7 @@
             size_kb: Some(MEAN_KB),
             write: false,
             valid_until: self.now + PATIENCE,
-            own: None,
+            own_copy: None,
         };
         self.tell(Event::Request(request));
     }
@@ -195,7 +195,7 @@
             elapsed: ANSWER_AFTER,
             closed: true,
             note: Some(if filled { Note::Filled } else { Note::Hit }),
-            waited: None,
+            fill_time: None,
             load: None,
         };
         (self.now + ANSWER_AFTER, outcome)
--- a/lab/src/data_path/purges.rs
+++ b/lab/src/data_path/purges.rs
@@ -12,7 +12,7 @@
 /// Purges that are remembered at this rate.
 pub fn remembered(rate: u64) -> u64 {
     let settings = settings();
-    rate * (settings.purge_done + settings.purge_grace) / MICROS_PER_S
+    rate * (settings.purge_complete_within + settings.purge_grace) / MICROS_PER_S
 }
 
 /// A host that remembers as many purges as stay at this rate, and the number of the next one.
--- a/silverspindle/benches/donor.rs
+++ b/silverspindle/benches/donor.rs
@@ -18,12 +18,13 @@
     knowledge.listed(true, &(0..members).map(listed).collect::<Vec<_>>());
     knowledge.heard();
     let seen = |n: u64| (0..4096u64).map(|i| (i + n).wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
-    let member = |id| MemberReport { id: MemberId(id), met: 9, limit: 30.0, ..MemberReport::default() };
+    let member =
+        |id| MemberReport { id: MemberId(id), attempts_ended: 9, limit: 30.0, ..MemberReport::default() };
     let report = Report {
         members: (0..members).map(member).collect(),
         fills: [(30.0, 0.1), (9.0, 0.2)],
         warm_rate: [3.0, 1.0],
-        seen: [seen(0), seen(9000)],
+        seen_ids: [seen(0), seen(9000)],
     };
     (knowledge, report)
 }
--- a/silverspindle/src/agreement/orders.rs
+++ b/silverspindle/src/agreement/orders.rs
@@ -63,7 +63,7 @@
 
     fn is_cold(&self, noted: &Noted) -> bool {
         let settings = &self.settings;
-        let time = if self.is_parent(noted) { settings.parent_cold_time } else { settings.cold_time };
+        let time = if self.is_parent(noted) { settings.parent_cold_duration } else { settings.cold_duration };
         noted.started > 0 && clock::now() < noted.started.saturating_add(time)
     }
 }
--- a/silverspindle/src/config.rs
+++ b/silverspindle/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use serde_json::Value;
 use silverspindle_conf::Conf;
 use tracing::level_filters::LevelFilter;
@@ -41,7 +41,7 @@
     /// See `flow`.
     pub link: f64,
     /// The settings.
-    pub catalogue: Catalogue,
+    pub site: SiteSettings,
     /// The number of the last event in `known`, and the events.
     pub known: (u64, Vec<feed::Event>),
     /// Which log lines are written.
@@ -164,10 +164,10 @@
             all.extend(fault::<()>("settings", "must be an object").err());
             return Err(faults);
         };
-        let (catalogue, notes) = site(settings, all);
+        let (site, notes) = site(settings, all);
         let known = match &file["known"] {
             Value::Null => Ok((0, Vec::new())),
-            value => feed::known(value, &catalogue).or_else(|e| {
+            value => feed::known(value, &site).or_else(|e| {
                 let (key, problem) = e.split_once(": ").unwrap_or((&e, "malformed"));
                 fault(key, problem)
             }),
@@ -186,7 +186,7 @@
             memory: (memory * 1e6) as usize,
             flow,
             link,
-            catalogue,
+            site,
             known,
             level,
             json_logs,
@@ -226,25 +226,25 @@
 ];
 
 /// Reads the settings of a site; what would break a rule is a fault, what has a safe reading is a note.
-fn site(settings: &serde_json::Map<String, Value>, faults: &mut Vec<String>) -> (Catalogue, Vec<String>) {
-    let mut catalogue = Catalogue::read(settings);
+fn site(settings: &serde_json::Map<String, Value>, faults: &mut Vec<String>) -> (SiteSettings, Vec<String>) {
+    let mut site = SiteSettings::parse(settings);
     let mut wrong =
         |key: &str, problem: &str| faults.extend(fault::<()>(&format!("settings.{key}"), problem).err());
-    if catalogue.classes.is_empty() {
+    if site.classes.is_empty() {
         wrong("classes", "must list at least one class");
     }
-    for (i, class) in catalogue.settings.classes.iter().enumerate() {
-        if catalogue.classes[i].is_empty() {
+    for (i, class) in site.settings.classes.iter().enumerate() {
+        if site.classes[i].is_empty() {
             wrong(&format!("classes[{i}].name"), "is missing");
         }
         if class.deadline == 0 {
             wrong(&format!("classes[{i}].deadline_ms"), "must be above 0");
         }
     }
-    if catalogue.settings.zone == usize::MAX {
+    if site.settings.zone == usize::MAX {
         wrong("my_zone", "must be one of settings.failure_domains");
     }
-    if catalogue.settings.origin_kind.is_none() {
+    if site.settings.origin_kind.is_none() {
         wrong("family_info.root_kind", "must be a place in settings.kinds");
     }
     let value =
@@ -275,8 +275,8 @@
         }
     }
     let or = |told: u64, default: u64| if told > 0 { told } else { default };
-    catalogue.settings.connect_timeout = or(catalogue.settings.connect_timeout, 400_000);
-    catalogue.idle_close = or(catalogue.idle_close, 30_000_000);
-    catalogue.streams_per_conn = or(catalogue.streams_per_conn as u64, 32) as usize;
-    (catalogue, notes)
+    site.settings.connect_timeout = or(site.settings.connect_timeout, 400_000);
+    site.idle_close = or(site.idle_close, 30_000_000);
+    site.streams_per_conn = or(site.streams_per_conn as u64, 32) as usize;
+    (site, notes)
 }
--- a/silverspindle/src/copies.rs
+++ b/silverspindle/src/copies.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use bitternhold::{EVERY_GROUP, Micros};
+use bitternhold::{ALL_GROUPS, Micros};
 use bytes::Bytes;
 
 use crate::clock::Stamp;
@@ -63,7 +63,7 @@
     pub fn falls_to(&self, object: u64, what: Purged, at: Stamp) -> bool {
         let named = match what {
             Purged::Object(key) => key == object,
-            Purged::Group(group) => group == self.group || group == EVERY_GROUP,
+            Purged::Group(group) => group == self.group || group == ALL_GROUPS,
         };
         named && self.stamp <= at
     }
@@ -138,7 +138,7 @@
 
     /// Whether a copy of this part that the origin gave out then is held to be purged.
     pub fn is_purged(&self, key: &Key, group: u64, stamp: Stamp) -> bool {
-        let purged = [Purged::Object(key.0), Purged::Group(group), Purged::Group(EVERY_GROUP)];
+        let purged = [Purged::Object(key.0), Purged::Group(group), Purged::Group(ALL_GROUPS)];
         purged.iter().filter_map(|what| self.purges.get(what)).any(|(at, _)| stamp <= *at)
     }
 
--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -15,8 +15,8 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use bitternhold::{
-    Action, Event, FillMode, Keep, Lifecycle, ListKind, Member, MemberId, Micros, Own, Request, RequestId,
-    Settings, Status,
+    Action, Event, FillMode, Keep, Lifecycle, ListKind, Member, MemberId, Micros, OwnCopy, Request,
+    RequestId, Settings, Status,
 };
 use futures_lite::future;
 use silverspindle_knowledge::Item;
@@ -112,7 +112,7 @@
 impl Director {
     /// A director for a module with this seed.
     pub fn new(seed: u64, shared: Rc<Shared>, owed: Rc<Owed>, copies: Copies) -> Self {
-        let settings = shared.catalogue.settings.clone();
+        let settings = shared.site.settings.clone();
         let all = shared.clone();
         Self {
             start_peer: Box::new(move |id, address| Peer::start(id, address, &all)),
@@ -257,7 +257,7 @@
 
     fn purged(&mut self, what: Purged, at: Stamp) {
         let now = self.now();
-        let keep = self.settings.purge_done + self.settings.purge_grace;
+        let keep = self.settings.purge_complete_within + self.settings.purge_grace;
         self.shared.board.purged(now, what, keep);
         self.copies.purge(now, what, at);
         self.drop_offered(what, at);
@@ -330,7 +330,7 @@
             }
             Message::Limits => {
                 let members = self.module.members_report(self.now());
-                let limits = members.into_iter().map(|m| (m.id, (m.limit, m.aside > 0)));
+                let limits = members.into_iter().map(|m| (m.id, (m.limit, m.quarantine > 0)));
                 *self.shared.board.limits() = limits.collect();
             }
             Message::Probed { member, status, elapsed, load } => {
@@ -356,10 +356,10 @@
         self.by_client.insert((port.id(), seq), id);
         let now = self.now();
         let copy = self.offered_copy(now, &call);
-        let own = copy.as_ref().map(|copy| Own {
+        let own = copy.as_ref().map(|copy| OwnCopy {
             age: self.skew.copy_age(now, copy.stamp),
-            unseen: now.saturating_sub(copy.seen()),
-            wait: self.copies.wait(now, copy.bytes(call.holds(&copy.tag))),
+            since_cache_hit: now.saturating_sub(copy.seen()),
+            delivery_time: self.copies.wait(now, copy.bytes(call.holds(&copy.tag))),
         });
         let account = Account::new(self.settings.classes.get(call.class));
         let (out, closed) = (Vec::new(), false);
@@ -368,7 +368,7 @@
         self.owed.set(self.owed.get() + 1);
         self.wake(call.deadline + LAST_WORD, Due::Request(id));
         self.event(Event::Request(Request {
-            own,
+            own_copy: own,
             id,
             class: call.class,
             object: call.object.to_ascii_lowercase(),
@@ -427,7 +427,7 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Look { id, member, until } => {
+            Action::Lookup { id, member, until } => {
                 let (keep, mode) = (Keep::Pass, FillMode::default());
                 self.send(id, member, until, Terms { source: None, keep, max_age: None, mode });
             }
@@ -446,7 +446,7 @@
             Action::Own { id } => {
                 // Whether it is still there says nothing of what may have run: without it the module decides anew.
                 let served = self.serve_own_copy(id);
-                self.backlog.push_back(Event::OwnCopy { id, served });
+                self.backlog.push_back(Event::OwnCopyResult { id, served });
             }
             Action::Fail { id } => self.answer(id, Verdict::Failed),
             Action::Timer { delay, token } => self.wake(self.now() + delay, Due::Module(token)),
--- a/silverspindle/src/director/attempts.rs
+++ b/silverspindle/src/director/attempts.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use bitternhold::{Effect, Event, MemberId, Micros, Outcome, RequestId, Status};
+use bitternhold::{Event, Idempotency, MemberId, Micros, Outcome, RequestId, Status};
 
 use super::{Director, Due, Out, spelt};
 use crate::invariant;
@@ -48,7 +48,7 @@
             elapsed,
             closed,
             note,
-            waited,
+            fill_time: waited,
             load,
         }));
     }
@@ -77,8 +77,8 @@
         let Some(noted) = self.shared.board.noted(id).filter(|noted| noted.started > 0) else { return false };
         let time = match Some(noted.kind) {
             kind if kind == self.settings.origin_kind => 0,
-            kind if kind == self.settings.parent_kind => self.settings.parent_cold_time,
-            _ => self.settings.cold_time,
+            kind if kind == self.settings.parent_kind => self.settings.parent_cold_duration,
+            _ => self.settings.cold_duration,
         };
         now < noted.started.saturating_add(time)
     }
@@ -95,10 +95,10 @@
         let number = open.account.attempts();
         let until = if until == 0 { open.call.deadline } else { until.min(open.call.deadline) };
         let class = self.settings.classes.get(open.call.class);
-        let window = class.filter(|c| c.effect == Effect::Deduplicated).map(|c| c.window);
+        let window = class.filter(|c| c.idempotency == Idempotency::Deduplicated).map(|c| c.dedup_window);
         let repeat_by =
             window.zip(open.account.repeat_from()).map(|(window, first)| first.saturating_add(window));
-        let window = self.settings.fall_window;
+        let window = self.settings.overload_window;
         let cold_by = (cold && window > 0).then(|| now + window / COLD_WAIT);
         let write_by = [repeat_by, cold_by].into_iter().flatten().fold(until, Micros::min);
         self.next += 1;
@@ -134,7 +134,7 @@
                 elapsed: 0,
                 closed,
                 note: None,
-                waited: None,
+                fill_time: None,
                 load: None,
             }));
             return;
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -1,7 +1,7 @@
 //! What the director makes of the feed: news in their order, word of what it has taken in, and the safe reading while the
 //! feed's lease has run out.
 
-use bitternhold::{EVERY_GROUP, Event, ListKind, Micros};
+use bitternhold::{ALL_GROUPS, Event, ListKind, Micros};
 
 use super::Director;
 use crate::clock::Stamp;
@@ -18,7 +18,7 @@
         match notice {
             Notice::News(news) => self.news(news, ListKind::Full),
             Notice::PurgedBefore(at) => {
-                let what = Purged::Group(EVERY_GROUP);
+                let what = Purged::Group(ALL_GROUPS);
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
                 self.purged(what, at);
             }
@@ -43,7 +43,7 @@
         if self.told_stale.is_none_or(|told| now >= told + TELL_STALE) {
             self.told_stale = Some(now);
             let age = oldest.saturating_sub(TELL_STALE);
-            self.backlog.push_back(Event::Purged { object: None, group: EVERY_GROUP, age });
+            self.backlog.push_back(Event::Purged { object: None, group: ALL_GROUPS, age });
         }
     }
 }
--- a/silverspindle/src/director/own_copies.rs
+++ b/silverspindle/src/director/own_copies.rs
@@ -40,7 +40,8 @@
         let unproven = SafeToRetry::unproven(OWN_COPY_LOSS);
         let counts_to = if unproven.is_some() { now } else { open.came };
         let age = |copy: &Copy| self.skew.copy_age(counts_to, copy.stamp);
-        let good = |copy: &Copy| terms.is_some_and(|c| c.fresh == 0 || age(copy) < c.fresh + c.stale);
+        let good =
+            |copy: &Copy| terms.is_some_and(|c| c.fresh_for == 0 || age(copy) < c.fresh_for + c.stale_for);
         let loss = match &open.own {
             None => CopyLoss::Purged,
             Some(copy) if !good(copy) => CopyLoss::Aged,
--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -11,7 +11,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use bitternhold::{AgeingFilter, Micros};
 use futures_lite::future;
 
@@ -66,7 +66,7 @@
 /// What all connections share.
 #[derive(Debug)]
 pub struct Front {
-    catalogue: Rc<Catalogue>,
+    site: Rc<SiteSettings>,
     director: Sender<Message>,
     /// Whether it takes clients: `isWell` and the second address are answered from this.
     drain: Rc<RefCell<Drain>>,
@@ -101,14 +101,14 @@
     /// A front that hands its requests to the director. A third of the memory may lie in answers that slow
     /// clients have not taken, an eighth in writes.
     pub fn new(
-        catalogue: Rc<Catalogue>,
+        site: Rc<SiteSettings>,
         director: Sender<Message>,
         memory: usize,
         sockets: usize,
         drain: Rc<RefCell<Drain>>,
     ) -> Rc<Self> {
         Rc::new(Self {
-            catalogue,
+            site,
             director,
             drain,
             counters: Rc::default(),
@@ -224,7 +224,7 @@
     fn refuse(&self, call: Call, reason: RefusalReason) -> Verdict {
         self.counters.refused(reason);
         tracing::debug!(rid = call.rid, reason = reason.name(), "refused");
-        Verdict::Refused(Refusal::new(SafeToRetry::unsent(call), &self.catalogue.settings, STAY_AWAY))
+        Verdict::Refused(Refusal::new(SafeToRetry::unsent(call), &self.site.settings, STAY_AWAY))
     }
 
     /// Makes room for a client that waits to be accepted. Guards against connections that are held and not
--- a/silverspindle/src/front/request.rs
+++ b/silverspindle/src/front/request.rs
@@ -2,8 +2,8 @@
 
 use std::cell::{Cell, RefCell};
 
-use bitternhold::settings::place;
-use bitternhold::{Effect, Micros};
+use bitternhold::settings::index_of;
+use bitternhold::{Idempotency, Micros};
 use bytes::Bytes;
 
 use super::Front;
@@ -53,10 +53,10 @@
         };
         let named = |name: &str| given(name)?.filter(|t| hex(t).is_some()).map(str::to_owned);
         let read = || {
-            let class = place(&self.catalogue.classes, given("method")?);
-            let terms = self.catalogue.settings.classes.get(class)?;
+            let class = index_of(&self.site.classes, given("method")?);
+            let terms = self.site.settings.classes.get(class)?;
             let token = passed("token")?;
-            if (terms.effect == Effect::Deduplicated && token.is_none())
+            if (terms.idempotency == Idempotency::Deduplicated && token.is_none())
                 || body.len() > if terms.write { thrift::MOST_WRITE } else { 0 }
             {
                 return None;
@@ -68,7 +68,7 @@
             // A size that nobody could ever be sent is none. One that takes longer than this client waits is served all
             // the same (the deadline is short, or the object large), but not believed to the letter: it would be
             // counted in the class's mean sending time, by which just-started caches are spared, for a thousand requests.
-            let flow = self.catalogue.settings.flow_kb_per_s;
+            let flow = self.site.settings.flow_kb_per_s;
             let believed = OVER_DEADLINE as f64 * terms.deadline as f64 / 1e6 * flow;
             let size_kb = match given("mem")? {
                 Some(text) if number(text)? > OVER_SIZE * believed && flow > 0.0 => return None,
--- a/silverspindle/src/knowledge/mod.rs
+++ b/silverspindle/src/knowledge/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use bitternhold::{
-    self as module, EVERY_GROUP, Inherited, InheritedMember, InheritedPace, MemberId, MemberReport, Micros,
+    self as module, ALL_GROUPS, Inherited, InheritedLimit, InheritedMember, MemberId, MemberReport, Micros,
     Settings,
 };
 use silverspindle_conf::HalfLives;
@@ -88,7 +88,7 @@
 fn named(what: Purged) -> silverspindle_knowledge::Purged {
     match what {
         Purged::Object(key) => silverspindle_knowledge::Purged::Object(key),
-        Purged::Group(EVERY_GROUP) => silverspindle_knowledge::Purged::All,
+        Purged::Group(ALL_GROUPS) => silverspindle_knowledge::Purged::All,
         Purged::Group(group) => silverspindle_knowledge::Purged::Group(group),
     }
 }
@@ -100,7 +100,7 @@
         Self {
             me,
             steady: Steady::start(),
-            store: Store::new(me, conf, settings.purge_done + settings.purge_grace),
+            store: Store::new(me, conf, settings.purge_complete_within + settings.purge_grace),
             list: OwnList::default(),
             entries: BTreeMap::new(),
             overruled: BTreeMap::new(),
@@ -178,14 +178,23 @@
     /// All that can be told, with what the module saw up to now.
     pub fn give(&mut self, report: module::Report) -> Vec<Item> {
         let (now, up) = (self.steady.now(), self.steady.up());
-        let met: u32 = report.members.iter().fold(0, |all, m| all.saturating_add(m.met));
+        let met: u32 = report.members.iter().fold(0, |all, m| all.saturating_add(m.attempts_ended));
         if let Some(current) = self.list.current() {
             for (id, list::Listed { lifecycle, started }) in self.list.entries().collect::<Vec<_>>() {
                 let value = Value::Listed { lifecycle, started };
                 self.store.observe(current, up, Subject::Member(id, Aspect::Listed), 1, value);
             }
         }
-        for MemberReport { id, started, met, ill, aside, limit, lateness } in report.members {
+        for MemberReport {
+            id,
+            started,
+            attempts_ended: met,
+            fault_rate: ill,
+            quarantine: aside,
+            limit,
+            late_rate: lateness,
+        } in report.members
+        {
             let (ill, limit, lateness) = (ill as f32, limit as f32, lateness as f32);
             let health = Value::Health { started, ill: ill.clamp(0.0, 1.0), aside };
             self.store.observe(now, up, Subject::Member(id.0, Aspect::Health), met, health);
@@ -201,7 +210,7 @@
             let lateness = lateness.map(|share| share.clamp(0.0, 1.0));
             self.store.observe(now, up, Subject::Fills, met, Value::Fills { limits, lateness });
         }
-        let [active, passive] = report.seen.map(Ids::new);
+        let [active, passive] = report.seen_ids.map(Ids::new);
         if !(active.is_empty() && passive.is_empty()) {
             self.store.observe(now, up, Subject::Filter, met, Value::Filter { active, passive });
         }
@@ -239,17 +248,17 @@
         let members = priors.members.into_iter().map(|m| InheritedMember {
             id: MemberId(m.id),
             started: started.get(&m.id).copied().unwrap_or_default(),
-            ill: m.ill,
-            ill_weight: m.health_weight,
-            aside: m.aside,
-            pace: InheritedPace { limit: m.limit, lateness: m.lateness, weight: m.pace_weight },
+            fault_rate: m.ill,
+            fault_rate_weight: m.health_weight,
+            quarantine: m.aside,
+            concurrency: InheritedLimit { limit: m.limit, late_rate: m.lateness, weight: m.pace_weight },
         });
         // A rate has no prior to weigh against: half a word is used whole, less is none.
         let warm_rate = priors.rates.filter(|(_, weight)| *weight >= 0.5).map_or([0.0; 2], |(r, _)| r);
         let fills = priors.fills.map_or_else(Default::default, |(limits, lateness, weight)| {
-            [0, 1].map(|i| InheritedPace { limit: limits[i], lateness: lateness[i], weight })
+            [0, 1].map(|i| InheritedLimit { limit: limits[i], late_rate: lateness[i], weight })
         });
-        let inherited = Inherited { members: members.collect(), fills, warm_rate, seen: priors.filter };
+        let inherited = Inherited { members: members.collect(), fills, warm_rate, seen_ids: priors.filter };
         Learnt { purges, inherited, refused }
     }
 }
--- a/silverspindle/src/main.rs
+++ b/silverspindle/src/main.rs
@@ -344,7 +344,7 @@
                 |faults: Vec<String>| faults.into_iter().map(|e| format!("silverspindle: {e}")).collect();
             let config = Config::read_all(&environment).map_err(|faults| -> Vec<String> { named(faults) })?;
             config.notes.iter().for_each(|note| println!("{note}"));
-            let (classes, last) = (config.catalogue.classes.join(", "), config.known.0);
+            let (classes, last) = (config.site.classes.join(", "), config.known.0);
             println!("{} on {}: classes {classes}; list known to event {last}", config.name, config.listen);
         }
         Command::CheckConf { file } => {
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -77,7 +77,7 @@
         let listener = Async::new(shared_listener(config.listen)?)?;
         let management = config.management.map(Async::<TcpListener>::bind).transpose()?;
         let address = listener.get_ref().local_addr()?;
-        let catalogue = Rc::new(config.catalogue);
+        let site = Rc::new(config.site);
         let (mailbox, messages) = async_channel::bounded(director::MAILBOX);
         let (tell, news) = async_channel::bounded(director::MAILBOX);
         let exchanges = conf.exchange.as_ref().map_or(0, exchange::descriptors);
@@ -97,7 +97,7 @@
         }
         let descriptors = Descriptors::new(peers);
         let shared = Rc::new(Shared {
-            catalogue: catalogue.clone(),
+            site: site.clone(),
             board: board.clone(),
             descriptors: descriptors.clone(),
             director: mailbox.clone(),
@@ -106,11 +106,11 @@
         let owed = Rc::new(Owed::default());
         let copies = Copies::new((config.memory / COPIES_PART).min(MOST_COPIES), config.flow, config.link);
         let on = conf.exchange.is_some() || conf.snapshot.is_some();
-        let knowledge = on.then(|| Knowledge::new(&config.name, conf.half_lives, &catalogue.settings));
+        let knowledge = on.then(|| Knowledge::new(&config.name, conf.half_lives, &site.settings));
         let who = knowledge.as_ref().map(|k| (k.me, k.steady));
         let mut director = Director::new(config.seed, shared, owed.clone(), copies).with_knowledge(knowledge);
         let (last, known) = config.known;
-        let cleared = catalogue.settings.purge_done + catalogue.settings.purge_grace;
+        let cleared = site.settings.purge_complete_within + site.settings.purge_grace;
         let of_relays = conf.relay.as_ref().map(|_| known.clone());
         known.into_iter().for_each(|event| director.news(event.news, ListKind::Cached));
         if let Some((snapshot, (me, _))) = conf.snapshot.clone().zip(who) {
@@ -137,10 +137,9 @@
             tasks.spawn(own.clone().watch()).detach();
             hub = Some(own);
         }
-        let longest = catalogue.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let drain = Rc::new(RefCell::new(Drain::new().with_longest(longest)));
-        let front =
-            Front::new(catalogue.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
+        let front = Front::new(site.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
         director.count_in(front.counters());
         let agreed: Rc<RefCell<Option<agreement::Handle>>> = Rc::default();
         if let Some(terms) = conf.agreement.clone() {
@@ -154,8 +153,8 @@
             let yard = agreement::Yard {
                 board: board.clone(),
                 director: mailbox.clone(),
-                settings: catalogue.settings.clone(),
-                classes: catalogue.classes.clone(),
+                settings: site.settings.clone(),
+                classes: site.classes.clone(),
                 drain: drain.clone(),
                 nudge: front.nudger(),
                 owes: Rc::new(move || owed.get() > 0 || !own.flushed()),
--- a/silverspindle/src/traffic.rs
+++ b/silverspindle/src/traffic.rs
@@ -12,7 +12,7 @@
 
 use async_channel::Sender;
 use async_executor::LocalExecutor;
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use bitternhold::{FillMode, Keep, Load, MemberId, Micros, Note, Status};
 use bytes::Bytes;
 use silverspindle_conf::HalfLives;
@@ -302,7 +302,7 @@
 pub const PARENT_TOKEN: u8 = 2;
 
 impl Attempt {
-    pub(crate) fn command(&self, names: &Catalogue) -> Vec<u8> {
+    pub(crate) fn command(&self, names: &SiteSettings) -> Vec<u8> {
         let call = &*self.call;
         let class = names.classes.get(call.class).map_or("", String::as_str);
         // Rounded to the safe side: a shorter wait, a younger copy; 0 would mean the fresh time.
@@ -374,7 +374,7 @@
 #[derive(Debug)]
 pub struct Shared {
     /// The settings.
-    pub catalogue: Rc<Catalogue>,
+    pub site: Rc<SiteSettings>,
     /// What was told last.
     pub board: Rc<Board>,
     /// Descriptors left.
--- a/silverspindle/src/traffic/account.rs
+++ b/silverspindle/src/traffic/account.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use bitternhold::{Class, DedupGroup, Effect, MemberId, Micros, Settings, Status};
+use bitternhold::{Class, DedupGroup, Idempotency, MemberId, Micros, Settings, Status};
 
 use super::{Attempt, Call};
 use crate::guards::{REFUSAL_PROOF, without};
@@ -71,7 +71,7 @@
     fn may_have_run(&self) -> bool {
         match &self.state {
             State::Out(attempt) => attempt.written.get(),
-            State::Ended(status, _) => !status.proves_never_ran(),
+            State::Ended(status, _) => !status.never_executed(),
         }
     }
 }
@@ -87,10 +87,10 @@
 impl Account {
     /// The account of a request that was not sent on yet, by its class; one not known is taken for the most delicate.
     pub fn new(class: Option<&Class>) -> Self {
-        let freely = |c: &Class| match c.effect {
-            Effect::Idempotent => true,
-            Effect::Deduplicated => c.group == DedupGroup::All,
-            Effect::AtMostOnce => false,
+        let freely = |c: &Class| match c.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Deduplicated => c.dedup_group == DedupGroup::All,
+            Idempotency::AtMostOnce => false,
         };
         Self { repeats_freely: class.is_some_and(freely), entries: Vec::new() }
     }
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -5,7 +5,7 @@
 use std::fmt::Debug;
 use std::rc::Rc;
 
-use bitternhold::{EVERY_GROUP, Lifecycle, Member, MemberId, Micros, Note};
+use bitternhold::{ALL_GROUPS, Lifecycle, Member, MemberId, Micros, Note};
 use silverspindle_work::Ledger;
 
 use super::Attempt;
@@ -288,7 +288,7 @@
             && self.is_ready(to)
             && attempt.terms.source.is_none_or(|source| self.is_ready(source))
             && !since(Purged::Group(attempt.call.group))
-            && !since(Purged::Group(EVERY_GROUP))
+            && !since(Purged::Group(ALL_GROUPS))
             && !attempt.call.key().is_some_and(|key| since(Purged::Object(key)))
             // Decided before the feed's lease ran out, it asks for copies that may be purged.
             && oldest.is_none_or(|oldest| attempt.terms.max_age.is_some_and(|age| age <= oldest));
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -8,7 +8,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use bitternhold::{Effect, Load, MemberId, Micros, Status};
+use bitternhold::{Idempotency, Load, MemberId, Micros, Status};
 use bytes::Bytes;
 use futures_lite::{AsyncWriteExt, future};
 use rustix::io::Errno;
@@ -147,7 +147,7 @@
 
     async fn run(mut self) {
         // By the clock, not by quiet: orders that never cease must not put the sweep off.
-        let sweep_every = SWEEP.min(self.shared.catalogue.idle_close / IDLE_PART).max(SWEEP_LEAST);
+        let sweep_every = SWEEP.min(self.shared.site.idle_close / IDLE_PART).max(SWEEP_LEAST);
         let mut due = clock::now() + sweep_every;
         loop {
             let timer = clock::at(due);
@@ -258,11 +258,12 @@
     /// connection at most, as its answers can't be told apart. One that the peer may be about to close is left to the
     /// sweep; the more so for what may not be repeated.
     fn line_for(&mut self, id: &[u8], attempt: Option<&Attempt>) -> Option<u64> {
-        let streams = self.shared.catalogue.streams_per_conn;
+        let streams = self.shared.site.streams_per_conn;
         let (now, idle, me) = (clock::now(), self.idle(), self.id);
-        let classes = &self.shared.catalogue.settings.classes;
-        let once =
-            attempt.is_some_and(|a| classes.get(a.call.class).is_none_or(|c| c.effect == Effect::AtMostOnce));
+        let classes = &self.shared.site.settings.classes;
+        let once = attempt.is_some_and(|a| {
+            classes.get(a.call.class).is_none_or(|c| c.idempotency == Idempotency::AtMostOnce)
+        });
         let idle = if once { idle / 4 } else { idle };
         let takes = |n: u64, l: &Line| {
             l.streams.len() < streams
@@ -279,7 +280,7 @@
         let found = able.min_by_key(|(n, l)| (l.streams.len(), !l.up, **n));
         let found = found.map(|(n, l)| (*n, l.streams.len()));
         let plenty = self.shared.descriptors.are_plenty();
-        let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.catalogue.handshake_price;
+        let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.site.handshake_cost;
         match found {
             Some((n, streams)) if streams == 0 || !plenty || cheaper(streams) => return Some(n),
             _ => {}
@@ -405,7 +406,7 @@
             }
             Stream::Attempt(attempt, _) => {
                 // A write's answer is no copy and has no name.
-                let classes = &self.shared.catalogue.settings.classes;
+                let classes = &self.shared.site.settings.classes;
                 let whole = answer.name.is_some() || classes.get(attempt.call.class).is_some_and(|c| c.write);
                 let body = match answer.word {
                     Word::Hit if whole => Some(frame.slice_ref(answer.body)),
@@ -466,7 +467,7 @@
 
     /// Idle connections are closed after so long: a little before the peer does, so that no request crosses its close.
     fn idle(&self) -> Micros {
-        let told = self.shared.catalogue.idle_close;
+        let told = self.shared.site.idle_close;
         told - (told / IDLE_PART).max(IDLE_MARGIN).min(told / 2)
     }
 
@@ -510,14 +511,14 @@
 
     async fn serve(&self) -> Result<std::convert::Infallible, io::Error> {
         let late = async {
-            Timer::after(Duration::from_micros(self.shared.catalogue.settings.connect_timeout)).await;
+            Timer::after(Duration::from_micros(self.shared.site.settings.connect_timeout)).await;
             Err(io::Error::new(io::ErrorKind::TimedOut, "no connection in time"))
         };
         let stream = Rc::new(future::or(Async::<TcpStream>::connect(self.address), late).await?);
         let _ = stream.get_ref().set_nodelay(true);
         self.actor.send(Order::Up(self.line, stream.clone())).await.map_err(gone)?;
         let stream = &*stream;
-        let classes = &self.shared.catalogue.settings.classes;
+        let classes = &self.shared.site.settings.classes;
         let longest = Duration::from_micros(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
         let read = async {
             // Nobody waits longer than the longest deadline for the rest of an answer that goes on and on.
@@ -564,7 +565,7 @@
                 self.actor.send(Order::Unwritten(self.line, attempt.clone())).await.map_err(gone)?;
                 return Ok(None);
             }
-            let bytes = attempt.command(&self.shared.catalogue);
+            let bytes = attempt.command(&self.shared.site);
             match stream.get_ref().write(&bytes) {
                 Ok(written) => {
                     attempt.written.set(true);
--- a/silverspindle/tests/actors.rs
+++ b/silverspindle/tests/actors.rs
@@ -234,13 +234,8 @@
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let (listener, address) = listen();
-        let front = Front::new(
-            world.shared.catalogue.clone(),
-            world.shared.director.clone(),
-            3000,
-            64,
-            Rc::default(),
-        );
+        let front =
+            Front::new(world.shared.site.clone(), world.shared.director.clone(), 3000, 64, Rc::default());
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
         let (slow, good) = (Client::connect(tasks, address).await, Client::connect(tasks, address).await);
         slow.send(&serve(1, &page("00000000000000a1"), b"")).await;
@@ -300,13 +295,8 @@
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let (listener, address) = listen();
-        let front = Front::new(
-            world.shared.catalogue.clone(),
-            world.shared.director.clone(),
-            8 * 150,
-            64,
-            Rc::default(),
-        );
+        let front =
+            Front::new(world.shared.site.clone(), world.shared.director.clone(), 8 * 150, 64, Rc::default());
         tasks.spawn(front.accept(listener, tasks.clone())).detach();
         let client = Client::connect(tasks, address).await;
         let write = |seq| {
@@ -335,7 +325,7 @@
         let world = World::new(tasks, 9);
         let (listener, address) = listen();
         let front = Front::new(
-            world.shared.catalogue.clone(),
+            world.shared.site.clone(),
             world.shared.director.clone(),
             192_000_000,
             64,
--- a/silverspindle/tests/common/orders.rs
+++ b/silverspindle/tests/common/orders.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use async_channel::Receiver;
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use bitternhold::{Lifecycle, ListKind, Member, MemberId, Micros, Status};
 use bytes::Bytes;
 use serde_json::{Value, json};
@@ -227,14 +227,14 @@
 
 impl Play {
     /// A request that has come just now, before a program with these settings.
-    pub fn start(case: Case, program: &Rc<Catalogue>) -> Self {
+    pub fn start(case: Case, program: &Rc<SiteSettings>) -> Self {
         let time = Rc::new(Cell::new(START));
         let board = Rc::new(Board::by(Clock::given(time.clone())));
         let feed = Rc::new(Feed::default());
         board.lease(feed.clone(), CLEARED);
         let (to_director, _) = async_channel::bounded(1);
         let shared = Rc::new(Shared {
-            catalogue: program.clone(),
+            site: program.clone(),
             board: board.clone(),
             descriptors: Descriptors::new(64),
             director: to_director,
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use bitternhold::{FillMode, Keep, MemberId, Status};
 use bytes::Bytes;
 use silverspindle::clock;
@@ -51,11 +51,11 @@
 
     pub fn with(tasks: &Tasks, descriptors: usize, options: &serde_json::Value) -> Self {
         let (director, ends) = async_channel::bounded(1024);
-        let catalogue = Rc::new(Catalogue::read(options.as_object().unwrap()));
+        let site = Rc::new(SiteSettings::parse(options.as_object().unwrap()));
         let board = Rc::new(Board::default());
         [PEER, SOURCE].into_iter().for_each(|id| board.set_ready(id, true));
         let descriptors = Descriptors::new(descriptors);
-        let shared = Rc::new(Shared { catalogue, board, descriptors, director, tasks: tasks.clone() });
+        let shared = Rc::new(Shared { site, board, descriptors, director, tasks: tasks.clone() });
         Self { shared, ends, cache: Cache::start(tasks), client: Rc::default() }
     }
 
@@ -114,8 +114,8 @@
         drain: &Rc<RefCell<Drain>>,
         listener: Async<TcpListener>,
     ) -> Rc<Front> {
-        let (catalogue, director) = (self.shared.catalogue.clone(), self.shared.director.clone());
-        let front = Front::new(catalogue, director, 192_000_000, 64, drain.clone());
+        let (site, director) = (self.shared.site.clone(), self.shared.director.clone());
+        let front = Front::new(site, director, 192_000_000, 64, drain.clone());
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
         front
     }
--- a/silverspindle/tests/config.rs
+++ b/silverspindle/tests/config.rs
@@ -21,7 +21,7 @@
     let config = config(&file()).unwrap();
     assert_eq!((config.sockets, config.memory, config.seed), (1024, 192_000_000, 7));
     assert_eq!((config.known.0, config.known.1.len()), (3, 3));
-    assert_eq!(config.catalogue.classes, ["page", "scan"]);
+    assert_eq!(config.site.classes, ["page", "scan"]);
 }
 
 #[test]
@@ -33,7 +33,7 @@
     let environment = |name: &str| (name == "LB_NAME").then(|| "n9".to_owned());
     let config = Config::parse(&file.to_string(), &environment).unwrap();
     assert_eq!((config.name.as_str(), config.sockets, config.known.0), ("n9", 1024, 0));
-    let c = config.catalogue;
+    let c = config.site;
     assert_eq!((c.streams_per_conn, c.idle_close, c.settings.connect_timeout), (32, 30_000_000, 400_000));
 }
 
@@ -101,9 +101,9 @@
     odd["settings"]["family_info"]["heed_within_ms"] = json!([500]);
     odd["settings"]["classes"][0]["idempotency"] = json!("sometimes");
     let read = config(&odd).unwrap();
-    let settings = &read.catalogue.settings;
+    let settings = &read.site.settings;
     assert!(!settings.second_copies && settings.purge_grace == 0);
-    assert_eq!(settings.classes[0].effect, bitternhold::Effect::AtMostOnce);
+    assert_eq!(settings.classes[0].idempotency, bitternhold::Idempotency::AtMostOnce);
     let keys: Vec<&str> = read.notes.iter().filter_map(|note| note.split(": ").next()).collect();
     let told = [
         "settings.limits.second_copies",
--- a/silverspindle/tests/every_order.rs
+++ b/silverspindle/tests/every_order.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use common::orders::{Case, Play, Repeats, Step};
 use serde_json::{Value, json};
 
@@ -29,12 +29,17 @@
     cases
 }
 
-fn catalogue(settings: &Value) -> Rc<Catalogue> {
-    Rc::new(Catalogue::read(settings.as_object().unwrap()))
+fn site(settings: &Value) -> Rc<SiteSettings> {
+    Rc::new(SiteSettings::parse(settings.as_object().unwrap()))
 }
 
 /// Plays every sequence that goes on from this one; how many there were, or the first broken rule.
-fn explore(case: Case, program: &Rc<Catalogue>, path: &mut Vec<Step>, depth: usize) -> Result<u64, String> {
+fn explore(
+    case: Case,
+    program: &Rc<SiteSettings>,
+    path: &mut Vec<Step>,
+    depth: usize,
+) -> Result<u64, String> {
     let mut play = Play::start(case, program);
     path.iter().for_each(|step| play.take(*step));
     let steps = if path.len() < depth { play.steps() } else { Vec::new() };
@@ -50,7 +55,7 @@
 
 /// The least depth at which a sequence breaks a rule, and its story.
 fn shallowest_fault(case: Case, program: &Value, most: usize) -> Option<(usize, String)> {
-    let program = catalogue(program);
+    let program = site(program);
     let faults = (1..=most).map(|depth| (depth, explore(case, &program, &mut Vec::new(), depth).err()));
     faults.filter_map(|(depth, fault)| fault.map(|story| (depth, story))).next()
 }
@@ -59,9 +64,8 @@
 fn every_order_of_a_requests_events_keeps_the_rules() {
     let began = Instant::now();
     let played: Vec<(Case, Result<u64, String>)> = std::thread::scope(|scope| {
-        let play = |case: Case| {
-            scope.spawn(move || explore(case, &catalogue(&case.settings()), &mut Vec::new(), DEPTH))
-        };
+        let play =
+            |case: Case| scope.spawn(move || explore(case, &site(&case.settings()), &mut Vec::new(), DEPTH));
         let running: Vec<_> = cases().into_iter().map(|case| (case, play(case))).collect();
         running.into_iter().map(|(case, run)| (case, run.join().unwrap())).collect()
     });
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -169,9 +169,9 @@
     }
 
     /// Starts from what other directors found, as long as the limit is still an initial estimate.
-    fn start(&mut self, told: InheritedPace, doubt: f64) {
+    fn start(&mut self, told: InheritedLimit, doubt: f64) {
         let weight = if self.fell == 0 { told.weight * doubt } else { 0.0 };
-        self.lateness += weight * (told.lateness - self.lateness);
+        self.lateness += weight * (told.late_rate - self.lateness);
         self.limit *= (told.limit.max(LIMIT_LEAST) / self.limit).powf(weight);
     }
 
@@ -361,8 +361,8 @@
                 out.extend(rest.map(|(n, _)| Action::Cancel { id, attempt: n as u32 }));
                 self.close(id);
             }
-            Event::OwnCopy { id, served: true } => self.close(id),
-            Event::OwnCopy { id, served: false } => self.own_lost(now, id, out),
+            Event::OwnCopyResult { id, served: true } => self.close(id),
+            Event::OwnCopyResult { id, served: false } => self.own_lost(now, id, out),
             Event::Purged { object, group, age } => self.purged(now, object, group, age),
             Event::Inherited(told) => self.inherit(now, told),
             Event::Probed { .. } => {}
@@ -423,8 +423,8 @@
         let s = &self.settings;
         let (from, time) = match self.sort(m) {
             Some(ORIGIN) => return 1.0,
-            Some(PARENTS) => (s.parent_cold_from, s.parent_cold_time),
-            _ => (s.cold_from, s.cold_time),
+            Some(PARENTS) => (s.parent_cold_start_share, s.parent_cold_duration),
+            _ => (s.cold_start_share, s.cold_duration),
         };
         let age = now.saturating_sub(m.started);
         if m.started == 0 || age >= time {
@@ -516,7 +516,7 @@
 
     /// Attributes an outcome as a success or a fault to the member or to the source of its fill.
     fn judge(&mut self, now: Micros, attempt: &Attempt, o: &Outcome, late: bool, out: &mut Vec<Action>) {
-        let (member, told) = (attempt.member, self.settings.tells == Tells::All);
+        let (member, told) = (attempt.member, self.settings.notes == Notes::All);
         let via = attempt.source.unwrap_or(member);
         match (o.status, o.note) {
             (Status::Ok, Some(Note::Hit | Note::Stale)) if late => self.fault(now, member, SOFT, out),
@@ -544,16 +544,16 @@
             let same = |p: &&mut Peer| p.entry.started == m.started;
             let Some(p) = self.peers.get_mut(&m.id).filter(same) else { continue };
             let doubt = 1.0 / (f64::from(p.met) + 1.0);
-            p.ill += m.ill_weight * doubt * (m.ill - p.ill);
-            p.pace.start(m.pace, doubt);
-            if m.aside > 0 && p.met == 0 {
-                (p.until, p.trust) = (now + m.aside.min(ASIDE_MOST), Some(1));
+            p.ill += m.fault_rate_weight * doubt * (m.fault_rate - p.ill);
+            p.pace.start(m.concurrency, doubt);
+            if m.quarantine > 0 && p.met == 0 {
+                (p.until, p.trust) = (now + m.quarantine.min(ASIDE_MOST), Some(1));
             }
         }
         self.fill_pace.start(told.fills[0], 1.0);
         self.origin_pace.start(told.fills[1], 1.0);
         self.warm_rate = if self.rate_from > 0 { self.warm_rate } else { told.warm_rate };
-        let seen = told.seen.into_iter().take(GENERATION).collect();
+        let seen = told.seen_ids.into_iter().take(GENERATION).collect();
         (self.filter.last_added, self.filter.inherited) = (now, seen);
     }
 
@@ -562,7 +562,7 @@
     /// Terms of a class.
     fn class(&self, class: usize) -> Class {
         // An unknown class is treated as the most restrictive one.
-        let unknown = || Class { effect: Effect::AtMostOnce, write: true, ..Class::default() };
+        let unknown = || Class { idempotency: Idempotency::AtMostOnce, write: true, ..Class::default() };
         self.settings.classes.get(class).cloned().unwrap_or_else(unknown)
     }
 
@@ -607,7 +607,7 @@
     /// Decides a request again without its own copy, which no longer exists.
     fn own_lost(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        (open.request.own, open.own_wanted) = (None, false);
+        (open.request.own_copy, open.own_wanted) = (None, false);
         self.step(now, id, out);
     }
 
@@ -618,14 +618,14 @@
         let c = self.class(class);
         let late = self.slow.get(class).copied().unwrap_or(0.0) * (1.0 - c.late_worth);
         let ageing = !room || late > 1.0 - c.stale_worth;
-        (c.fresh > 0).then_some(c.fresh + if ageing { c.stale } else { 0 })
+        (c.fresh_for > 0).then_some(c.fresh_for + if ageing { c.stale_for } else { 0 })
     }
 
     /// Whether the router's own copy is acceptable: the request is no write, and the copy is within the
     /// maximum age and not purged.
     fn own_holds(&self, now: Micros, request: &Request, key: u64, limit: Option<Micros>) -> bool {
         let purged = self.purge_age(now, key, request.group);
-        request.own.is_some_and(|own| {
+        request.own_copy.is_some_and(|own| {
             let old = |limit: Micros| own.age + OWN_MARGIN >= limit;
             !request.write && !limit.is_some_and(old) && !purged.is_some_and(old)
         })
@@ -636,11 +636,11 @@
     /// Drawback: takes capacity of the link from other requests.
     fn own_first(&self, now: Micros, request: &Request, key: u64) -> bool {
         let oldest = self.oldest(request.class, true);
-        let holds = |_: &Own| self.own_holds(now, request, key, oldest);
-        let Some(own) = request.own.filter(holds) else { return false };
-        let room = if own.unseen >= OWN_UNSEEN { OWN_FILL } else { OWN_HIT };
+        let holds = |_: &OwnCopy| self.own_holds(now, request, key, oldest);
+        let Some(own) = request.own_copy.filter(holds) else { return false };
+        let room = if own.since_cache_hit >= OWN_UNSEEN { OWN_FILL } else { OWN_HIT };
         let spare = room * self.aim(request) as f64 + self.work_of(request) * 1e6;
-        own.wait as f64 <= spare && now + own.wait < request.valid_until
+        own.delivery_time as f64 <= spare && now + own.delivery_time < request.valid_until
     }
 
     /// Rank at which the object is kept. By the paper's test an object seen recently is kept at the middle
@@ -711,7 +711,8 @@
             self.suspect(&mut open, member);
             let class = self.class(open.request.class);
             let arrival = now + (self.pace_mean * self.aim(&open.request) as f64) as Micros;
-            let kept = class.effect != Effect::Deduplicated || arrival < open.attempts[0].at + class.window;
+            let kept = class.idempotency != Idempotency::Deduplicated
+                || arrival < open.attempts[0].at + class.dedup_window;
             let kept = kept && arrival < open.request.valid_until;
             let useful = self.settings.second_copies && self.calm() && kept && !open.answered;
             let look = !open.bad.contains(&member);
@@ -735,8 +736,8 @@
             return;
         }
         let stands_for = self.stands_for();
-        match self.settings.tells {
-            Tells::All => self.origin_pace.tell(now, self.full_out, true, LATE_MANY, stands_for),
+        match self.settings.notes {
+            Notes::All => self.origin_pace.tell(now, self.full_out, true, LATE_MANY, stands_for),
             _ => self.fill_pace.tell(now, self.fills_out, true, LATE_MANY, stands_for),
         }
     }
@@ -785,7 +786,7 @@
         let (mut held, mut room) = (false, true);
         if look && !write {
             source = member;
-        } else if !(write || open.look.joinable && self.settings.joins) {
+        } else if !(write || open.look.joinable && self.settings.join_fills) {
             let parent = self.peers.get(&source).is_some_and(|p| self.sort(&p.entry) == Some(PARENTS));
             let fills = self.fill_pace.room(self.fills_out, chance);
             room = fills && self.origin_pace.room(self.full_out, chance);
@@ -801,9 +802,9 @@
         let until = open.request.valid_until;
         let age = self.purge_age(now, open.key, open.request.group);
         let oldest = self.oldest(open.request.class, room);
-        let renew = oldest.is_some_and(|oldest| oldest > class.fresh);
+        let renew = oldest.is_some_and(|oldest| oldest > class.fresh_for);
         let max_age = age.into_iter().chain(oldest.filter(|_| renew || age.is_some())).min();
-        let join = self.settings.joins && age.is_none() && !write;
+        let join = self.settings.join_fills && age.is_none() && !write;
         let mode = FillMode { held_only: held, join, renew, ..FillMode::default() };
         let id = open.request.id;
         out.push(Action::Fetch { id, member, until, source, keep: open.keep, max_age, mode });
@@ -855,7 +856,7 @@
         let late = o.elapsed > if o.status == Status::Timeout { 2 * aim } else { aim };
         let stands_for = self.stands_for();
         let many = if open.request.size_kb.is_some() { LATE_MANY } else { LATE_UNSIZED };
-        let told = self.settings.tells == Tells::All;
+        let told = self.settings.notes == Notes::All;
         let hit = matches!(o.note, Some(Note::Hit | Note::Stale));
         // Where the source may be the cause, an outcome says nothing about the cache.
         let own = hit || ((told || attempt.source.is_none()) && o.note.is_none());
@@ -909,7 +910,7 @@
             return drop(self.open.insert(o.id, open));
         };
         attempt.ended = true;
-        attempt.may_have_run = !o.status.proves_never_ran();
+        attempt.may_have_run = !o.status.never_executed();
         let attempt = *attempt;
         self.pace(now, &open, &attempt, &o);
         self.release(&mut open.attempts[o.attempt as usize]);
@@ -933,11 +934,11 @@
         if o.status == Status::Ok {
             let erred = std::mem::take(&mut open.erred);
             erred.into_iter().filter(|m| *m != o.member).for_each(|m| self.fault(now, m, SOFT, out));
-        } else if o.status == Status::Error && o.note.is_none() && self.settings.tells == Tells::All {
+        } else if o.status == Status::Error && o.note.is_none() && self.settings.notes == Notes::All {
             open.erred.push(o.member);
         }
         // Without notes a refusal or an error counts against the source first, then against the cache.
-        let untold = self.settings.tells != Tells::All && matches!(o.status, Status::Full | Status::Error);
+        let untold = self.settings.notes != Notes::All && matches!(o.status, Status::Full | Status::Error);
         let again = open.attempts.iter().filter(|a| a.member == o.member).count() > 1;
         let source_fault =
             matches!(o.note, Some(Note::SourceRefused | Note::SourceUnreachable | Note::OriginFailed));
@@ -1006,7 +1007,10 @@
         // An own copy, even a stale one, is better than a refusal.
         let limit = self.oldest(open.request.class, false);
         let due = open.attempts.first().map_or(now, |a| a.at) + self.aim(&open.request);
-        let soon = open.request.own.is_some_and(|own| now + own.wait < due.min(open.request.valid_until));
+        let soon = open
+            .request
+            .own_copy
+            .is_some_and(|own| now + own.delivery_time < due.min(open.request.valid_until));
         if soon && self.own_holds(now, &open.request, open.key, limit) {
             open.own_wanted = true;
             return out.push(Action::Own { id });
@@ -1028,7 +1032,7 @@
     /// Records a purge and removes those that are complete.
     fn purged(&mut self, now: Micros, object: Option<String>, group: u64, age: Micros) {
         let at = now.saturating_sub(age);
-        let done = self.settings.purge_done + self.settings.purge_grace;
+        let done = self.settings.purge_complete_within + self.settings.purge_grace;
         let over = |at: Micros| now.saturating_sub(at) > done;
         while let Some((_, key)) = self.purges_told.pop_front_if(|(told, _)| over(*told)) {
             if self.purges.get(&key).is_some_and(|at| over(*at)) {
@@ -1043,9 +1047,9 @@
     /// Maximum age that excludes copies from before a purge, while such copies may still exist. Never 0,
     /// which means no limit.
     fn purge_age(&self, now: Micros, key: u64, group: u64) -> Option<Micros> {
-        let told = [(key, false), (group, true), (EVERY_GROUP, true)].map(|what| self.purges.get(&what));
+        let told = [(key, false), (group, true), (ALL_GROUPS, true)].map(|what| self.purges.get(&what));
         let age = now.saturating_sub(*told.into_iter().max().flatten()?);
-        let about = age <= self.settings.purge_done + self.settings.purge_grace;
+        let about = age <= self.settings.purge_complete_within + self.settings.purge_grace;
         about.then(|| age.saturating_sub(1_000).max(1))
     }
 
@@ -1053,12 +1057,12 @@
     /// within bounds, nothing can be executed twice, and a cold member's budget is kept.
     fn may_send(&self, now: Micros, open: &Open, peer: &Peer, class: &Class) -> bool {
         let tries = (open.attempts.len() as u32) < self.settings.max_attempts.max(1);
-        let effect = match (class.effect, open.attempts.iter().find(|a| !a.ended || a.may_have_run)) {
-            (Effect::Idempotent, _) | (_, None) => true,
-            (Effect::AtMostOnce, _) => false,
-            (Effect::Deduplicated, Some(first)) => {
-                now.saturating_sub(first.at) < class.window
-                    && match class.group {
+        let effect = match (class.idempotency, open.attempts.iter().find(|a| !a.ended || a.may_have_run)) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::AtMostOnce, _) => false,
+            (Idempotency::Deduplicated, Some(first)) => {
+                now.saturating_sub(first.at) < class.dedup_window
+                    && match class.dedup_group {
                         DedupGroup::All => true,
                         DedupGroup::Zone => first.zone == peer.entry.zone,
                         DedupGroup::Cell => (first.zone, first.cell) == (peer.entry.zone, peer.entry.cell),
@@ -1074,26 +1078,26 @@
     /// Whether the request may be refused: a refusal promises that a retry is safe.
     fn may_refuse(&self, open: &Open) -> bool {
         let class = self.class(open.request.class);
-        let dropped = class.effect == Effect::Deduplicated && class.group == DedupGroup::All;
+        let dropped = class.idempotency == Idempotency::Deduplicated && class.dedup_group == DedupGroup::All;
         let ran = |a: &Attempt| !a.ended || a.may_have_run;
-        class.effect == Effect::Idempotent || dropped || !open.attempts.iter().any(ran)
+        class.idempotency == Idempotency::Idempotent || dropped || !open.attempts.iter().any(ran)
     }
 
     /// Whether one more attempt stays within this director's share of a cold member's budget for a window.
     fn within_cold_budget(&self, now: Micros, p: &Peer, work: f64) -> bool {
         let part = self.ramp(now, &p.entry);
-        if part >= 1.0 || self.settings.fall_window == 0 {
+        if part >= 1.0 || self.settings.overload_window == 0 {
             return true;
         }
         let (s, sort) = (&self.settings, self.sort(&p.entry));
         let (parent, sharers) = (sort == Some(PARENTS), f64::from(self.sharers(sort)));
-        let multiple = if parent { s.parent_fall_multiple } else { s.fall_multiple };
+        let multiple = if parent { s.parent_overload_multiple } else { s.overload_multiple };
         // Rate when warm, for this director: by its weight, else as observed of warm members.
         let told = matches!(s.weights, Weights::Nominal | Weights::Rough);
         let warm = if told { self.weight(&p.entry) / sharers } else { self.warm_rate[usize::from(parent)] };
-        let window = s.fall_window as f64 / 1e6;
+        let window = s.overload_window as f64 / 1e6;
         let budget = COLD_MARGIN * multiple * part * warm * window;
-        let from = now.saturating_sub(s.fall_window);
+        let from = now.saturating_sub(s.overload_window);
         let spent: f64 = p.sent.iter().filter(|(at, _)| *at >= from).map(|(_, w)| w).sum();
         // Where the share is less than one attempt, directors take turns: each at times of its own, as often
         // as the growing capacity allows and less often for larger work. The rate of turns changes in steps,
@@ -1116,7 +1120,7 @@
 
     /// Records a send in the cold member's budget and among the attempts in flight.
     fn spend(&mut self, now: Micros, id: MemberId, work: f64, count: fn(&mut Peer)) {
-        let window = self.settings.fall_window;
+        let window = self.settings.overload_window;
         let Some(p) = self.peers.get_mut(&id) else { return };
         count(p);
         while p.sent.front().is_some_and(|(at, _)| now.saturating_sub(*at) > window) {
@@ -1130,7 +1134,7 @@
     fn served(&mut self, now: Micros, work: [f64; 2]) {
         self.rate_sum = [self.rate_sum[0] + work[0], self.rate_sum[1] + work[1]];
         let span = now.saturating_sub(self.rate_from);
-        if span < self.settings.fall_window.max(1) {
+        if span < self.settings.overload_window.max(1) {
             return;
         }
         for sort in [CACHES, PARENTS] {
--- a/src/choice/report.rs
+++ b/src/choice/report.rs
@@ -4,14 +4,15 @@
 
 impl Director {
     /// This director's own observations, without the inherited ones. Where an estimate combines both and they
-    /// can't be separated, the combined value is reported; `met` says how much of it is this director's own.
+    /// can't be separated, the combined value is reported; `attempts_ended` says how much of it is this
+    /// director's own.
     pub fn report(&self, now: Micros) -> Report {
         Report {
             members: self.members_report(now),
             fills: [&self.fill_pace, &self.origin_pace].map(|p| (p.limit, p.lateness)),
             // Before the director has measured a rate itself, its value is inherited.
             warm_rate: if self.rate_from > 0 { self.warm_rate } else { [0.0; 2] },
-            seen: [&self.filter.active, &self.filter.passive].map(|ids| ids.iter().copied().collect()),
+            seen_ids: [&self.filter.active, &self.filter.passive].map(|ids| ids.iter().copied().collect()),
         }
     }
 
@@ -21,11 +22,11 @@
         let members = met.map(|p| MemberReport {
             id: p.entry.id,
             started: p.entry.started,
-            met: p.met,
-            ill: p.ill,
-            aside: p.until.saturating_sub(now),
+            attempts_ended: p.met,
+            fault_rate: p.ill,
+            quarantine: p.until.saturating_sub(now),
             limit: p.pace.limit,
-            lateness: p.pace.lateness,
+            late_rate: p.pace.lateness,
         });
         members.collect()
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -9,7 +9,7 @@
 pub struct MemberId(pub u64);
 
 /// Group number of a purge that covers all objects of every group.
-pub const EVERY_GROUP: u64 = u64::MAX;
+pub const ALL_GROUPS: u64 = u64::MAX;
 
 /// Identifies one request of a client; never reused. A client's retry is a new request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -17,7 +17,7 @@
 
 /// Whether a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat.
     #[default]
     Idempotent,
@@ -49,11 +49,11 @@
     /// How long a client waits in total, retries included.
     pub deadline: Micros,
     /// Whether a request may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Members that drop repeats.
-    pub group: DedupGroup,
+    pub dedup_group: DedupGroup,
     /// How long those members recognise repeats.
-    pub window: Micros,
+    pub dedup_window: Micros,
     /// The answer is streamed.
     pub streamed: bool,
     /// Value of a request that is answered in time.
@@ -61,9 +61,9 @@
     /// Share of the worth that a late answer earns.
     pub late_worth: f64,
     /// How long a copy is fresh; 0: until it is purged.
-    pub fresh: Micros,
+    pub fresh_for: Micros,
     /// How long after its fresh time a copy may still be served, where stale copies are asked for.
-    pub stale: Micros,
+    pub stale_for: Micros,
     /// Share of the worth that a stale copy earns.
     pub stale_worth: f64,
     /// Objects consist of parts that clients request one after another.
@@ -94,14 +94,14 @@
     Any,
 }
 
-/// What an outcome's note reveals about how the answer was produced.
+/// Which notes outcomes carry about how an answer was produced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Tells {
-    /// All notes are given.
+pub enum Notes {
+    /// All notes.
     All,
     /// Only whether the answer was a hit.
     Hit,
-    /// No notes are given.
+    /// No notes.
     #[default]
     Nothing,
 }
@@ -144,13 +144,13 @@
     /// Rate of one transfer to a client, in KB per second.
     pub flow_kb_per_s: f64,
     /// Parents and the origin accept attempts directly, not only as sources of fills.
-    pub direct: bool,
+    pub direct_upper_tiers: bool,
     /// An attempt may wait for a fill of the same object that is already running.
-    pub joins: bool,
+    pub join_fills: bool,
     /// Which other caches may be sources of fills.
     pub siblings: Siblings,
-    /// What outcomes reveal.
-    pub tells: Tells,
+    /// Which notes outcomes carry.
+    pub notes: Notes,
     /// Meaning of the listed weights.
     pub weights: Weights,
     /// Two attempts of one request may be in flight at the same time.
@@ -174,23 +174,23 @@
     /// Time after which a draining or gone member must not be sent anything.
     pub drain_grace: Micros,
     /// Minimum share of its capacity that a cache has when it starts.
-    pub cold_from: f64,
+    pub cold_start_share: f64,
     /// Time after its start by which a cache has its full capacity.
-    pub cold_time: Micros,
-    /// Load above this multiple of its current capacity makes a cold member fail, if it lasts for `fall_window`.
-    pub fall_multiple: f64,
+    pub cold_duration: Micros,
+    /// Load above this multiple of its current capacity makes a cold member fail, if it lasts for `overload_window`.
+    pub overload_multiple: f64,
     /// How long the excess load must last for that; 0: cold members have no budget.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// Minimum share of its capacity that a parent has when it starts.
-    pub parent_cold_from: f64,
+    pub parent_cold_start_share: f64,
     /// Time after its start by which a parent has its full capacity.
-    pub parent_cold_time: Micros,
-    /// Counterpart of `fall_multiple` for parents.
-    pub parent_fall_multiple: f64,
+    pub parent_cold_duration: Micros,
+    /// Counterpart of `overload_multiple` for parents.
+    pub parent_overload_multiple: f64,
     /// Time within which a purge must take effect.
     pub purge_grace: Micros,
     /// Time after a purge by which all members have dropped the older copies.
-    pub purge_done: Micros,
+    pub purge_complete_within: Micros,
 }
 
 /// State of a member in the membership list.
@@ -257,18 +257,18 @@
     /// Time at which the client stops waiting for this request.
     pub valid_until: Micros,
     /// The router's own copy of the object, if it has one.
-    pub own: Option<Own>,
+    pub own_copy: Option<OwnCopy>,
 }
 
-/// State of a copy in the router's own memory.
+/// Describes a copy in the router's own memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct OwnCopy {
     /// Time since the origin sent it.
     pub age: Micros,
     /// Time since a cache last answered with it.
-    pub unseen: Micros,
+    pub since_cache_hit: Micros,
     /// Time until its bytes would have reached the client, behind those already queued on the router's link.
-    pub wait: Micros,
+    pub delivery_time: Micros,
 }
 
 /// How an attempt ended.
@@ -296,7 +296,7 @@
 
 impl Status {
     /// Whether an attempt with this end can't have been executed.
-    pub fn proves_never_ran(self) -> bool {
+    pub fn never_executed(self) -> bool {
         matches!(self, Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss)
     }
 
@@ -372,7 +372,7 @@
     /// How the answer was produced or why the attempt failed, where reported.
     pub note: Option<Note>,
     /// Time until the fill's first byte or its failure, where reported.
-    pub waited: Option<Micros>,
+    pub fill_time: Option<Micros>,
     /// Load report of the member, if the answer carried one.
     pub load: Option<Load>,
 }
@@ -407,13 +407,13 @@
     Purged {
         /// The purged object; `None`: the whole group.
         object: Option<String>,
-        /// The purged group; [`EVERY_GROUP`]: any copy that old may have been purged.
+        /// The purged group; [`ALL_GROUPS`]: any copy that old may have been purged.
         group: u64,
         /// Time since the purge.
         age: Micros,
     },
     /// Result of an [`Action::Own`]. Reported for each of them, before any other event of the request.
-    OwnCopy {
+    OwnCopyResult {
         /// Id of the request.
         id: RequestId,
         /// The own copy answered the request; if false, it no longer exists and the request is still open.
@@ -447,22 +447,22 @@
     /// Start time of the observed process: another start time means another process.
     pub started: Micros,
     /// Running average of the share of faults, 0 to 1.
-    pub ill: f64,
+    pub fault_rate: f64,
     /// Weight of that share against the director's own initial value, 0 to 1.
-    pub ill_weight: f64,
+    pub fault_rate_weight: f64,
     /// Remaining time of its quarantine.
-    pub aside: Micros,
+    pub quarantine: Micros,
     /// Concurrency limit found for it.
-    pub pace: InheritedPace,
+    pub concurrency: InheritedLimit,
 }
 
 /// A concurrency limit that other directors found.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct InheritedPace {
+pub struct InheritedLimit {
     /// Number of attempts that may be in flight.
     pub limit: f64,
     /// Running average of the share of late answers, 0 to 1.
-    pub lateness: f64,
+    pub late_rate: f64,
     /// Weight of both values against the director's own initial ones, 0 to 1.
     pub weight: f64,
 }
@@ -473,11 +473,11 @@
     /// Observations by member.
     pub members: Vec<InheritedMember>,
     /// Limits for all fills, and for the fills that may go on to the origin.
-    pub fills: [InheritedPace; 2],
+    pub fills: [InheritedLimit; 2],
     /// Sending time per second that a warm cache and a warm parent take from one director; 0: unknown.
     pub warm_rate: [f64; 2],
     /// Recently requested objects, as ids of the filter.
-    pub seen: Vec<u64>,
+    pub seen_ids: Vec<u64>,
 }
 
 /// What a director observed of a member, for other directors.
@@ -488,15 +488,15 @@
     /// Start time of the observed process.
     pub started: Micros,
     /// Number of attempts that ended at the member.
-    pub met: u32,
+    pub attempts_ended: u32,
     /// Running average of the share of faults, 0 to 1.
-    pub ill: f64,
+    pub fault_rate: f64,
     /// Remaining time of its quarantine.
-    pub aside: Micros,
+    pub quarantine: Micros,
     /// Number of attempts that may be in flight to it.
     pub limit: f64,
     /// Running average of the share of late answers, 0 to 1.
-    pub lateness: f64,
+    pub late_rate: f64,
 }
 
 /// What a director itself observed, without what it inherited from others.
@@ -509,7 +509,7 @@
     /// See [`Inherited::warm_rate`].
     pub warm_rate: [f64; 2],
     /// Ids of the filter's active and passive generation: the objects requested most recently and those before them.
-    pub seen: [Vec<u64>; 2],
+    pub seen_ids: [Vec<u64>; 2],
 }
 
 /// Rank at which a cache keeps a copy.
@@ -542,7 +542,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// An attempt that is answered only from a copy the member holds, without a fill. The origin holds everything.
-    Look {
+    Lookup {
         /// Id of the request.
         id: RequestId,
         /// Member to send the attempt to.
@@ -574,7 +574,7 @@
         /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Answers the request with the router's own copy, if it still exists; [`Event::OwnCopy`] reports the result.
+    /// Answers the request with the router's own copy, if it still exists; [`Event::OwnCopyResult`] reports the result.
     Own {
         /// Id of the request.
         id: RequestId,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,7 +26,7 @@
 //!         size_kb: Some(640.0),
 //!         write: false,
 //!         valid_until: 900_000,
-//!         own: None,
+//!         own_copy: None,
 //!     }),
 //!     &mut actions,
 //! );
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -9,7 +9,7 @@
 /// The settings of the decision module with the names of classes, zones and kinds, and the settings of a
 /// router's connections.
 #[derive(Clone, Debug, Default)]
-pub struct Catalogue {
+pub struct SiteSettings {
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, in the order of their indices.
@@ -23,12 +23,12 @@
     /// Idle time after which a connection is closed; 0: not given.
     pub idle_close: Micros,
     /// Cost of a new connection, in units of a first attempt; 0: none.
-    pub handshake_price: f64,
+    pub handshake_cost: f64,
 }
 
-impl Catalogue {
+impl SiteSettings {
     /// Reads the settings leniently: a value of the wrong type counts as absent.
-    pub fn read(options: &Object) -> Self {
+    pub fn parse(options: &Object) -> Self {
         let entries = options.get("classes").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
         let classes = entries.iter().map(|c| Part(c.as_object()).text("name").to_owned()).collect();
         let (zones, kinds) = (names(options, "failure_domains"), names(options, "kinds"));
@@ -40,7 +40,7 @@
             kinds,
             streams_per_conn: limits.number("streams_per_conn") as usize,
             idle_close: limits.micros("idle_close_ms"),
-            handshake_price: Part::of(options, "deductions").number("handshake"),
+            handshake_cost: Part::of(options, "deductions").number("handshake"),
         }
     }
 }
@@ -56,7 +56,7 @@
 }
 
 /// Index of a name among those of the settings; `usize::MAX`, which is out of range, for an unknown name.
-pub fn place(names: &[String], name: Option<&str>) -> usize {
+pub fn index_of(names: &[String], name: Option<&str>) -> usize {
     names.iter().position(|n| Some(n.as_str()) == name).unwrap_or(usize::MAX)
 }
 
@@ -109,22 +109,22 @@
             aim: c.micros("slo_ms"),
             aim_stretch: c.number("aim_stretch"),
             deadline: c.micros("deadline_ms"),
-            effect: match c.text("idempotency") {
-                "idempotent" => Effect::Idempotent,
-                "deduplicated" => Effect::Deduplicated,
-                _ => Effect::AtMostOnce,
+            idempotency: match c.text("idempotency") {
+                "idempotent" => Idempotency::Idempotent,
+                "deduplicated" => Idempotency::Deduplicated,
+                _ => Idempotency::AtMostOnce,
             },
-            group: match c.text("group") {
+            dedup_group: match c.text("group") {
                 "zone" => DedupGroup::Zone,
                 "cell" => DedupGroup::Cell,
                 _ => DedupGroup::All,
             },
-            window: c.micros("window_ms"),
+            dedup_window: c.micros("window_ms"),
             streamed: c.flag("streamed"),
             worth: c.number("worth"),
             late_worth: c.number("late_worth"),
-            fresh: (fresh(i) * 1000.0) as Micros,
-            stale: (stale(i) * 1000.0) as Micros,
+            fresh_for: (fresh(i) * 1000.0) as Micros,
+            stale_for: (stale(i) * 1000.0) as Micros,
             stale_worth: stale_worth(i),
             segmented: segmented(i) > 0.0,
             write: write(i) > 0.0,
@@ -133,7 +133,7 @@
     Settings {
         index: top.number("index") as u32,
         directors: top.number("balancers") as u32,
-        zone: place(zones, Some(top.text("my_zone"))),
+        zone: index_of(zones, Some(top.text("my_zone"))),
         zone_directors: info.list("crew_by_zone").iter().map(|x| *x as u32).collect(),
         zone_hub: info.list("hub_by_zone").iter().map(|x| *x as usize).collect(),
         zone_link_kb_per_s: info.list("link_in_kb_per_s"),
@@ -141,17 +141,17 @@
         parent_kind: info.kind("parent_kind"),
         origin_kind: info.kind("root_kind"),
         flow_kb_per_s: info.number("flow_kb_per_s"),
-        direct: info.flag("bypass_allowed"),
-        joins: info.flag("shares_fills"),
+        direct_upper_tiers: info.flag("bypass_allowed"),
+        join_fills: info.flag("shares_fills"),
         siblings: match info.text("neighbours") {
             "location" => Siblings::Location,
             "any" => Siblings::Any,
             _ => Siblings::None,
         },
-        tells: match info.text("detail") {
-            "all" => Tells::All,
-            "hit" => Tells::Hit,
-            _ => Tells::Nothing,
+        notes: match info.text("detail") {
+            "all" => Notes::All,
+            "hit" => Notes::Hit,
+            _ => Notes::Nothing,
         },
         weights: match top.text("weights") {
             "nominal" => Weights::Nominal,
@@ -172,14 +172,14 @@
         ask_within: rules.micros("must_ask_in_ms"),
         answer_slack: rules.micros("grace_to_answer_ms"),
         drain_grace: rules.micros("drain_grace_ms"),
-        cold_from: rules.number("cold_from"),
-        cold_time: rules.micros("cold_ms"),
-        fall_multiple: rules.number("fall_multiple"),
-        fall_window: rules.micros("tip_after_ms"),
-        parent_cold_from: info.number("upper_cold_from"),
-        parent_cold_time: info.micros("parent_ramp_ms"),
-        parent_fall_multiple: info.number("parent_fall_multiple"),
+        cold_start_share: rules.number("cold_from"),
+        cold_duration: rules.micros("cold_ms"),
+        overload_multiple: rules.number("fall_multiple"),
+        overload_window: rules.micros("tip_after_ms"),
+        parent_cold_start_share: info.number("upper_cold_from"),
+        parent_cold_duration: info.micros("parent_ramp_ms"),
+        parent_overload_multiple: info.number("parent_fall_multiple"),
         purge_grace: info.micros("heed_within_ms"),
-        purge_done: info.micros("cleared_within_ms"),
+        purge_complete_within: info.micros("cleared_within_ms"),
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -50,7 +50,7 @@
 }
 
 fn settings() -> Settings {
-    Settings { fall_window: S, ..common::settings() }
+    Settings { overload_window: S, ..common::settings() }
 }
 
 /// Times of all attempts that have the cold member as target or source.
@@ -166,14 +166,14 @@
 fn over(cold: u64, sent: &[Micros]) -> (f64, usize) {
     let s = settings();
     let (multiple, from, time) = match cold {
-        COLD_PARENT => (s.parent_fall_multiple, s.parent_cold_from, s.parent_cold_time),
-        _ => (s.fall_multiple, s.cold_from, s.cold_time),
+        COLD_PARENT => (s.parent_overload_multiple, s.parent_cold_start_share, s.parent_cold_duration),
+        _ => (s.overload_multiple, s.cold_start_share, s.cold_duration),
     };
     let mut worst = f64::MIN;
     for (i, end) in sent.iter().enumerate().filter(|(_, end)| **end < START + time) {
         let part = (from + (1.0 - from) * (end - START) as f64 / time as f64).min(1.0);
-        let allowed = multiple * part * 10.0 * s.fall_window as f64 / 1e6 / WORK;
-        let within = sent[..=i].iter().filter(|at| **at + s.fall_window > *end).count() as f64;
+        let allowed = multiple * part * 10.0 * s.overload_window as f64 / 1e6 / WORK;
+        let within = sent[..=i].iter().filter(|at| **at + s.overload_window > *end).count() as f64;
         worst = worst.max(within - (allowed + 2.0 * allowed.sqrt() + 2.0));
     }
     (worst, sent.len())
@@ -203,7 +203,7 @@
 #[test]
 fn without_an_overload_window_a_cold_member_is_used() {
     let members = fleet().into_iter().map(|m| Member { started: START - 1, ..m }).collect();
-    let mut world = World::with(Settings { fall_window: 0, ..settings() }, members);
+    let mut world = World::with(Settings { overload_window: 0, ..settings() }, members);
     for id in 1..=50 {
         world.serve(id, &format!("o{id}"));
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,14 @@
 pub const ORIGIN: usize = 2;
 
 pub fn class() -> Class {
-    Class { aim: 500 * MS, aim_stretch: 2.0, deadline: 5 * S, window: 2 * S, worth: 1.0, ..Class::default() }
+    Class {
+        aim: 500 * MS,
+        aim_stretch: 2.0,
+        deadline: 5 * S,
+        dedup_window: 2 * S,
+        worth: 1.0,
+        ..Class::default()
+    }
 }
 
 pub fn settings() -> Settings {
@@ -24,21 +31,21 @@
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
         flow_kb_per_s: 5_000.0,
-        joins: true,
-        tells: Tells::All,
+        join_fills: true,
+        notes: Notes::All,
         weights: Weights::Nominal,
         max_attempts: 6,
         max_retry_after: S,
         drain_grace: 2 * S,
-        cold_from: 0.2,
-        cold_time: 10 * S,
-        fall_multiple: 2.0,
-        fall_window: 2 * S,
-        parent_cold_from: 0.1,
-        parent_cold_time: 20 * S,
-        parent_fall_multiple: 2.0,
+        cold_start_share: 0.2,
+        cold_duration: 10 * S,
+        overload_multiple: 2.0,
+        overload_window: 2 * S,
+        parent_cold_start_share: 0.1,
+        parent_cold_duration: 20 * S,
+        parent_overload_multiple: 2.0,
         purge_grace: 500 * MS,
-        purge_done: 6 * S,
+        purge_complete_within: 6 * S,
         ..Settings::default()
     }
 }
@@ -65,7 +72,7 @@
         size_kb: Some(500.0),
         write: false,
         valid_until: now + 3 * S,
-        own: None,
+        own_copy: None,
     }
 }
 
@@ -78,7 +85,7 @@
         elapsed: 100 * MS,
         closed: status == Status::Ok,
         note: (status == Status::Ok).then_some(Note::Hit),
-        waited: None,
+        fill_time: None,
         load: None,
     }
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -37,21 +37,22 @@
 
 /// Settings that vary with the seed in everything that ranking, budgets and purges depend on.
 fn settings_of(seed: u64) -> Settings {
-    let dedup = |group| Class { effect: Effect::Deduplicated, group, write: true, ..class() };
+    let dedup =
+        |dedup_group| Class { idempotency: Idempotency::Deduplicated, dedup_group, write: true, ..class() };
     let classes = vec![
         class(),
-        Class { fresh: 3 * S, stale: 5 * S, stale_worth: 0.6, late_worth: 0.3, ..class() },
+        Class { fresh_for: 3 * S, stale_for: 5 * S, stale_worth: 0.6, late_worth: 0.3, ..class() },
         Class { segmented: true, ..class() },
         dedup(DedupGroup::Zone),
         dedup(DedupGroup::Cell),
-        Class { effect: Effect::AtMostOnce, write: true, ..class() },
+        Class { idempotency: Idempotency::AtMostOnce, write: true, ..class() },
     ];
     let directors = [1, 4, 20][seed as usize % 3];
     Settings {
         directors,
         zone_directors: vec![0, directors],
         classes,
-        tells: [Tells::All, Tells::Hit, Tells::Nothing][(seed as usize / 3) % 3],
+        notes: [Notes::All, Notes::Hit, Notes::Nothing][(seed as usize / 3) % 3],
         weights: [Weights::Nominal, Weights::Rough, Weights::Unknown, Weights::Live][seed as usize % 4],
         second_copies: !seed.is_multiple_of(5),
         cancel: true,
@@ -91,17 +92,17 @@
 
 fn drawn_request(draw: &mut Draw, id: u128, now: Micros) -> Request {
     let object = draw.below(OBJECTS).min(draw.below(OBJECTS));
-    let own = draw.one_in(6).then(|| Own {
+    let own_copy = draw.one_in(6).then(|| OwnCopy {
         age: draw.below(9 * S),
-        unseen: draw.below(9 * S),
-        wait: draw.below(600 * MS),
+        since_cache_hit: draw.below(9 * S),
+        delivery_time: draw.below(600 * MS),
     });
     Request {
         class: draw.below(6) as usize,
         part: draw.below(3),
         group: object % 16,
         size_kb: (draw.below(4) > 0).then_some(20.0 + draw.below(4_000) as f64),
-        own,
+        own_copy,
         ..request(id, &format!("o{object}"), now)
     }
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use bitternhold::*;
 use common::{CACHE, MS, ORIGIN, PARENT, S, member};
 use serde_json::{Value, json};
@@ -138,17 +138,17 @@
 impl Sim {
     fn play(name: &str, trouble: Trouble) -> Day {
         let text = site(name);
-        let catalogue = Catalogue::read(text.as_object().unwrap());
+        let site = SiteSettings::parse(text.as_object().unwrap());
         let mut members: Vec<Member> = (1..=BOXES).map(|id| member(id, CACHE)).collect();
         members.extend([member(11, PARENT), member(12, PARENT), member(20, ORIGIN)]);
-        let routers = (0..ROUTERS).map(|index| Settings { index, ..catalogue.settings.clone() });
+        let routers = (0..ROUTERS).map(|index| Settings { index, ..site.settings.clone() });
         let mut sim = Sim {
             trouble,
             now: 100 * S,
             seq: 0,
             queue: BTreeMap::new(),
             routers: routers.enumerate().map(|(n, s)| Director::new(n as u64 + 1, s)).collect(),
-            settings: catalogue.settings,
+            settings: site.settings,
             open: BTreeMap::new(),
             tries: BTreeMap::new(),
             deadlines: BTreeMap::new(),
@@ -197,7 +197,7 @@
                     size_kb: Some(50.0),
                     write: class == 2,
                     valid_until: self.now + deadline,
-                    own: None,
+                    own_copy: None,
                 };
                 self.open.insert((router, id), BTreeMap::new());
                 self.deadlines.insert((router, id), self.now + deadline);
@@ -288,7 +288,7 @@
                 self.age(router, id.0, max_age);
                 self.send(router, id.0, member.0, source.0, until, None);
             }
-            Action::Look { id, member, until } => {
+            Action::Lookup { id, member, until } => {
                 self.age(router, id.0, None);
                 self.send(router, id.0, member.0, member.0, until, Some(()));
             }
@@ -327,9 +327,9 @@
     /// From the end of the purge's grace period until all older copies are dropped, an attempt must have a maximum age
     /// that excludes them.
     fn age(&self, router: usize, id: u128, max_age: Option<Micros>) {
-        let Settings { purge_grace, purge_done, .. } = self.settings;
+        let Settings { purge_grace, purge_complete_within, .. } = self.settings;
         let concerned = self.trouble == Trouble::Purge && self.purged.contains(&(router, id));
-        if concerned && (FROM + purge_grace..FROM + purge_done).contains(&self.since()) {
+        if concerned && (FROM + purge_grace..FROM + purge_complete_within).contains(&self.since()) {
             let young = max_age.is_some_and(|age| age <= self.since() - FROM);
             assert!(young, "{max_age:?} allows copies older than the purge {} ago", self.since() - FROM);
         }
@@ -380,7 +380,7 @@
         if status == Status::Ok {
             self.kept.insert((member, object));
         }
-        let note = note.filter(|_| self.settings.tells != Tells::Nothing || status != Status::Ok);
+        let note = note.filter(|_| self.settings.notes != Notes::Nothing || status != Status::Ok);
         let outcome =
             Outcome { elapsed: after, note, ..common::outcome(id, attempt, MemberId(member), status) };
         self.at(after.max(1), What::End { router, outcome });
@@ -418,13 +418,13 @@
     for name in SITES {
         for trouble in [Trouble::Crash, Trouble::Vanish, Trouble::Drain] {
             let day = Sim::play(name, trouble);
-            let settings = Catalogue::read(site(name).as_object().unwrap()).settings;
+            let settings = SiteSettings::parse(site(name).as_object().unwrap()).settings;
             // Its share when warm is a fifth of the load, which is what it is sized for.
             let warm = (u64::from(ROUTERS) * RATE) as f64 / BOXES as f64 / 2.0;
             let most = |half: Micros| {
-                let warmed = (half + 1) as f64 * 0.5 / (settings.cold_time as f64 / S as f64);
-                let part = settings.cold_from + (1.0 - settings.cold_from) * warmed;
-                warm * part * settings.fall_multiple
+                let warmed = (half + 1) as f64 * 0.5 / (settings.cold_duration as f64 / S as f64);
+                let part = settings.cold_start_share + (1.0 - settings.cold_start_share) * warmed;
+                warm * part * settings.overload_multiple
             };
             for (half, sent) in &day.cold {
                 assert!(
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -37,7 +37,7 @@
 #[test]
 fn a_fill_found_running_is_late_and_still_counts_as_in_flight() {
     let few = |found: Option<Note>| {
-        let mut settings = Settings { directors: 100, second_copies: true, joins: false, ..settings() };
+        let mut settings = Settings { directors: 100, second_copies: true, join_fills: false, ..settings() };
         settings.zone_directors = vec![0, 10];
         let mut w = World::new(settings);
         let mut next = 0;
--- a/tests/inherited.rs
+++ b/tests/inherited.rs
@@ -10,8 +10,14 @@
     world.tell(Event::Inherited(Inherited { members, ..Inherited::default() }));
 }
 
-fn ill(id: u64, aside: Micros) -> InheritedMember {
-    InheritedMember { id: MemberId(id), ill: 0.9, ill_weight: 0.9, aside, ..InheritedMember::default() }
+fn faulty(id: u64, quarantine: Micros) -> InheritedMember {
+    InheritedMember {
+        id: MemberId(id),
+        fault_rate: 0.9,
+        fault_rate_weight: 0.9,
+        quarantine,
+        ..InheritedMember::default()
+    }
 }
 
 /// Number of first attempts that went to this cache, of requests for 60 objects.
@@ -24,7 +30,7 @@
 #[test]
 fn a_member_quarantined_by_others_gets_no_attempts_until_its_probation() {
     let mut world = World::new(settings());
-    told(&mut world, vec![ill(1, 3 * S)]);
+    told(&mut world, vec![faulty(1, 3 * S)]);
     assert_eq!(share(&mut world, 1, 1), 0);
     world.now += 4 * S;
     assert!(share(&mut world, 100, 1) > 5, "trusted again after successful answers");
@@ -35,14 +41,14 @@
 fn inherited_observations_count_little_for_a_member_with_many_attempts() {
     let mut world = World::new(settings());
     assert!(share(&mut world, 1, 1) > 5);
-    told(&mut world, vec![ill(1, 3 * S)]);
+    told(&mut world, vec![faulty(1, 3 * S)]);
     assert!(share(&mut world, 100, 1) > 5);
 }
 
 #[test]
 fn observations_of_an_earlier_process_change_nothing() {
     let mut world = World::new(settings());
-    told(&mut world, vec![InheritedMember { started: 5, ..ill(1, 3 * S) }]);
+    told(&mut world, vec![InheritedMember { started: 5, ..faulty(1, 3 * S) }]);
     assert!(share(&mut world, 1, 1) > 5);
 }
 
@@ -54,7 +60,7 @@
         if let Some(limit) = prior {
             let of = |id| InheritedMember {
                 id: MemberId(id),
-                pace: InheritedPace { limit, lateness: 0.0, weight: 1.0 },
+                concurrency: InheritedLimit { limit, late_rate: 0.0, weight: 1.0 },
                 ..InheritedMember::default()
             };
             told(&mut world, (1..=4).map(of).collect());
@@ -71,15 +77,15 @@
     let mut donor = World::with(Settings { zone_directors: vec![0, 1], ..settings() }, fleet());
     donor.serve(1, "popular");
     let report = donor.director.report(donor.now);
-    assert_eq!(report.seen[0].len(), 1);
+    assert_eq!(report.seen_ids[0].len(), 1);
     let mut world = World::with(Settings { zone_directors: vec![0, 1], ..settings() }, fleet());
-    world.tell(Event::Inherited(Inherited { seen: report.seen[0].clone(), ..Inherited::default() }));
+    world.tell(Event::Inherited(Inherited { seen_ids: report.seen_ids[0].clone(), ..Inherited::default() }));
     assert_eq!(world.serve(1, "popular").keep, Keep::Middle);
     assert_eq!(world.serve(2, "other").keep, Keep::Pass);
     // A director reports only the objects requested of it, not the inherited ones.
     let mut idle = World::with(settings(), fleet());
-    idle.tell(Event::Inherited(Inherited { seen: report.seen[0].clone(), ..Inherited::default() }));
-    assert_eq!(idle.director.report(idle.now).seen, [Vec::<u64>::new(), vec![]]);
+    idle.tell(Event::Inherited(Inherited { seen_ids: report.seen_ids[0].clone(), ..Inherited::default() }));
+    assert_eq!(idle.director.report(idle.now).seen_ids, [Vec::<u64>::new(), vec![]]);
 }
 
 /// Only members at which an attempt has ended are reported, with the number of attempts.
@@ -88,7 +94,7 @@
     let mut world = World::new(settings());
     let cache = world.serve(1, "a").member;
     let report = world.director.report(world.now);
-    let caches: Vec<_> = report.members.iter().map(|m| (m.id, m.met)).collect();
+    let caches: Vec<_> = report.members.iter().map(|m| (m.id, m.attempts_ended)).collect();
     assert_eq!(caches, [(cache, 1)]);
 }
 
@@ -100,9 +106,9 @@
     let mut world = World::with(settings(), fleet);
     let well = |id| InheritedMember {
         id: MemberId(id),
-        ill_weight: 1.0,
-        pace: InheritedPace { limit: 1e6, lateness: 0.0, weight: 1.0 },
-        ..ill(id, 0)
+        fault_rate_weight: 1.0,
+        concurrency: InheritedLimit { limit: 1e6, late_rate: 0.0, weight: 1.0 },
+        ..faulty(id, 0)
     };
     told(&mut world, vec![well(1), well(77)]);
     assert_eq!(share(&mut world, 1, 1) + share(&mut world, 100, 77), 0);
@@ -114,7 +120,7 @@
     let fills = |told: Option<[f64; 2]>| {
         let mut world = World::new(Settings { zone_directors: vec![0, 1], ..settings() });
         if let Some(limits) = told {
-            let fills = limits.map(|limit| InheritedPace { limit, lateness: 0.5, weight: 1.0 });
+            let fills = limits.map(|limit| InheritedLimit { limit, late_rate: 0.5, weight: 1.0 });
             world.tell(Event::Inherited(Inherited { fills, ..Inherited::default() }));
         }
         let sent: Vec<Sent> = (1..=40).flat_map(|id| sends(&world.ask(id, &format!("o{id}")))).collect();
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -50,7 +50,7 @@
         let mut members = fleet();
         members[0].started = 100 * S - age;
         // A large budget, so that only the ramp limits the share.
-        let mut w = World::with(Settings { fall_multiple: 1e6, ..settings() }, members);
+        let mut w = World::with(Settings { overload_multiple: 1e6, ..settings() }, members);
         homes(&mut w, 400).iter().filter(|s| s.member == MemberId(1)).count()
     };
     let (young, middle, old) = (share(100 * MS), share(5 * S), share(10 * S));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -61,14 +61,14 @@
 
 // ---- No double execution ----
 
-fn with_effect(effect: Effect, group: DedupGroup) -> World {
-    World::new(Settings { classes: vec![Class { effect, group, ..class() }], ..settings() })
+fn with_idempotency(idempotency: Idempotency, dedup_group: DedupGroup) -> World {
+    World::new(Settings { classes: vec![Class { idempotency, dedup_group, ..class() }], ..settings() })
 }
 
 #[test]
 fn an_at_most_once_request_that_may_have_run_fails() {
     for status in [Status::Timeout, Status::Reset, Status::Error, Status::Cancelled] {
-        let mut w = with_effect(Effect::AtMostOnce, DedupGroup::All);
+        let mut w = with_idempotency(Idempotency::AtMostOnce, DedupGroup::All);
         let s = sent(&w.ask(1, "a"));
         let out = w.end(1, 0, s.member, status);
         assert!(failed(&out) && sends(&out).is_empty() && !refused(&out), "{status:?}");
@@ -77,14 +77,14 @@
 
 #[test]
 fn an_at_most_once_request_that_never_ran_is_sent_again() {
-    let mut w = with_effect(Effect::AtMostOnce, DedupGroup::All);
+    let mut w = with_idempotency(Idempotency::AtMostOnce, DedupGroup::All);
     let s = sent(&w.ask(1, "a"));
     assert_ne!(sent(&w.end(1, 0, s.member, Status::ConnectFailed)).member, s.member);
 }
 
 #[test]
 fn a_deduplicated_request_is_repeated_only_in_its_cell_and_window() {
-    let mut w = with_effect(Effect::Deduplicated, DedupGroup::Cell);
+    let mut w = with_idempotency(Idempotency::Deduplicated, DedupGroup::Cell);
     let s = sent(&w.ask(1, "a"));
     let next = sent(&w.end(1, 0, s.member, Status::Reset));
     assert_eq!(next.member.0 % 2, s.member.0 % 2);
@@ -258,7 +258,7 @@
 #[test]
 fn a_purge_of_every_group_covers_all_objects() {
     let mut w = World::new(settings());
-    w.tell(Event::Purged { object: None, group: EVERY_GROUP, age: 3 * S });
+    w.tell(Event::Purged { object: None, group: ALL_GROUPS, age: 3 * S });
     w.tell(Event::Purged { object: Some("a".into()), group: 7, age: 100 * MS });
     assert!(w.serve(1, "a").max_age.is_some_and(|age| age < 100 * MS));
     assert!(w.serve(2, "b").max_age.is_some_and(|age| age < 3 * S && age > 2 * S));
@@ -268,7 +268,7 @@
 
 #[test]
 fn the_fresh_time_limits_the_maximum_age_after_a_purge() {
-    let mut w = World::new(Settings { classes: vec![Class { fresh: S, ..class() }], ..settings() });
+    let mut w = World::new(Settings { classes: vec![Class { fresh_for: S, ..class() }], ..settings() });
     w.tell(Event::Purged { object: None, group: 7, age: 4 * S });
     assert_eq!(w.serve(1, "a").max_age, Some(S));
 }
@@ -341,7 +341,7 @@
 /// visayas rough-1.
 #[test]
 fn without_notes_a_refusal_counts_against_the_source_first() {
-    let mut w = World::new(Settings { tells: Tells::Hit, ..settings() });
+    let mut w = World::new(Settings { notes: Notes::Hit, ..settings() });
     let first = sent(&w.ask(1, "a"));
     let next = sent(&w.end(1, 0, first.member, Status::Full));
     assert_eq!(next.member, first.member);
@@ -701,27 +701,27 @@
 /// answering a write from memory. A stale copy is served rather than refusing the request.
 #[test]
 fn an_own_copy_is_served_while_it_is_valid_and_arrives_soon() {
-    let class = Class { fresh: 5 * S, stale: 30 * S, ..class() };
+    let class = Class { fresh_for: 5 * S, stale_for: 30 * S, ..class() };
     let settings = || Settings { classes: vec![class.clone()], ..settings() };
-    let ask = |w: &mut World, id: u128, own: Own, write: bool| {
-        let request = Request { own: Some(own), write, ..request(id, "a", w.now) };
+    let ask = |w: &mut World, id: u128, own: OwnCopy, write: bool| {
+        let request = Request { own_copy: Some(own), write, ..request(id, "a", w.now) };
         w.tell(Event::Request(request))
     };
     let served = |out: &[Action]| matches!(out[..], [Action::Own { .. }]);
-    let good = Own { age: S, unseen: 6 * S, wait: 200 * MS };
+    let good = OwnCopy { age: S, since_cache_hit: 6 * S, delivery_time: 200 * MS };
     let mut w = World::new(settings());
     assert!(served(&ask(&mut w, 1, good, false)));
     assert!(!served(&ask(&mut w, 2, good, true)));
-    assert!(!served(&ask(&mut w, 3, Own { age: 6 * S, ..good }, false)));
-    assert!(!served(&ask(&mut w, 4, Own { wait: 2 * S, ..good }, false)));
-    assert!(!served(&ask(&mut w, 5, Own { unseen: 0, ..good }, false)), "the caches have it");
+    assert!(!served(&ask(&mut w, 3, OwnCopy { age: 6 * S, ..good }, false)));
+    assert!(!served(&ask(&mut w, 4, OwnCopy { delivery_time: 2 * S, ..good }, false)));
+    assert!(!served(&ask(&mut w, 5, OwnCopy { since_cache_hit: 0, ..good }, false)), "the caches have it");
     w.tell(Event::Purged { object: Some("a".to_owned()), group: 0, age: S / 2 });
     assert!(!served(&ask(&mut w, 6, good, false)));
     let mut nobody = World::with(settings(), Vec::new());
-    assert!(served(&ask(&mut nobody, 1, Own { age: 20 * S, ..good }, false)));
-    assert!(refused(&ask(&mut nobody, 2, Own { age: 40 * S, ..good }, false)));
+    assert!(served(&ask(&mut nobody, 1, OwnCopy { age: 20 * S, ..good }, false)));
+    assert!(refused(&ask(&mut nobody, 2, OwnCopy { age: 40 * S, ..good }, false)));
     // A late copy would delay others on the router's link and earn almost nothing.
-    assert!(refused(&ask(&mut nobody, 3, Own { age: 20 * S, wait: 2 * S, ..good }, false)));
+    assert!(refused(&ask(&mut nobody, 3, OwnCopy { age: 20 * S, delivery_time: 2 * S, ..good }, false)));
 }
 
 /// Guards against refusals at a high request rate while nothing is late: a limit that was never reduced rises quickly.
@@ -790,7 +790,7 @@
 /// room for one, stale copies are accepted and refreshed after the answer.
 #[test]
 fn stale_copies_are_accepted_while_fills_are_late() {
-    let terms = Class { fresh: 5 * S, stale: 30 * S, stale_worth: 0.7, ..class() };
+    let terms = Class { fresh_for: 5 * S, stale_for: 30 * S, stale_worth: 0.7, ..class() };
     let asked = |late: bool| {
         let mut w = World::new(Settings { classes: vec![terms.clone()], ..settings() });
         for id in 0..60 {
--- a/wire/src/feed.rs
+++ b/wire/src/feed.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use bitternhold::settings::{Catalogue, place};
+use bitternhold::settings::{SiteSettings, index_of};
 use bitternhold::{Lifecycle, Member, MemberId};
 use serde_json::Value;
 
@@ -110,7 +110,7 @@
 }
 
 /// Reads `known`: the number of its last event and the events. An error names the key.
-pub fn known(value: &Value, names: &Catalogue) -> Result<(u64, Vec<Event>), String> {
+pub fn known(value: &Value, names: &SiteSettings) -> Result<(u64, Vec<Event>), String> {
     let index = value["index"].as_u64().ok_or("known.index: must be a whole number")?;
     let updates = value["updates"].as_array().ok_or("known.updates: must be a list")?;
     let events = updates.iter().enumerate().map(|(i, v)| {
@@ -142,7 +142,7 @@
     digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-fn listed(m: &Value, names: &Catalogue) -> Result<Listed, &'static str> {
+fn listed(m: &Value, names: &SiteSettings) -> Result<Listed, &'static str> {
     let id =
         m["id"].as_str().and_then(|t| t.strip_prefix("s-")).and_then(|t| u32::from_str_radix(t, 16).ok());
     Ok(Listed {
@@ -154,8 +154,8 @@
                 Some("gone") => Lifecycle::Gone,
                 _ => return Err("phase"),
             },
-            zone: place(&names.zones, m["locality"].as_str()),
-            kind: place(&names.kinds, m["flavor"].as_str()),
+            zone: index_of(&names.zones, m["locality"].as_str()),
+            kind: index_of(&names.kinds, m["flavor"].as_str()),
             cell: m["cell"].as_u64().unwrap_or(0),
             weight: m["size"].as_f64().unwrap_or(0.0),
             started: Stamp::from_millis(m["up_since_ms"].as_u64().unwrap_or(0)).on_own_clock(),
--- a/wirehost/src/codec.rs
+++ b/wirehost/src/codec.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use bitternhold::settings::{Catalogue, micros, place};
+use bitternhold::settings::{SiteSettings, index_of, micros};
 use bitternhold::*;
 use serde_json::{Map, Value};
 
@@ -13,7 +13,7 @@
 /// A director with the names its settings gave to classes, zones and kinds.
 struct Instance {
     director: Director,
-    names: Catalogue,
+    names: SiteSettings,
 }
 
 /// All instances of this process, and the numbered lists that `fleet` events refer to.
@@ -154,7 +154,7 @@
         match msg.name {
             "configure" => {
                 let options = msg.required("options", Value::as_object)?;
-                let names = Catalogue::read(options);
+                let names = SiteSettings::parse(options);
                 let director = Director::new(msg.number("prng")?, names.settings.clone());
                 self.instances.insert(who, Instance { director, names });
                 return Ok(());
@@ -190,14 +190,14 @@
             }
             "call" => Event::Request(Request {
                 id: msg.ticket()?,
-                class: place(&instance.names.classes, msg.optional("band", Value::as_str)?),
+                class: index_of(&instance.names.classes, msg.optional("band", Value::as_str)?),
                 object: msg.text("key")?.to_owned(),
                 part: msg.optional("range_no", whole)?.unwrap_or(0),
                 group: msg.optional("tag", whole)?.unwrap_or(0),
                 size_kb: msg.optional("length_kb", Value::as_f64)?.filter(|kb| *kb > 0.0),
                 write: msg.flag("write")?,
                 valid_until: msg.micros("valid_until_ms")?,
-                own: None,
+                own_copy: None,
             }),
             "ended" => Event::Outcome(Outcome {
                 id: msg.ticket()?,
@@ -207,7 +207,7 @@
                 elapsed: msg.micros("elapsed_ms")?,
                 closed: msg.flag("no_more")?,
                 note: msg.optional("detail", note)?.flatten(),
-                waited: msg.optional("first_byte_ms", micros)?,
+                fill_time: msg.optional("first_byte_ms", micros)?,
                 load: msg.optional("telemetry", load)?,
             }),
             "head_received" => Event::Streaming { id: msg.ticket()?, attempt: msg.number("seq_no")? as u32 },
@@ -241,8 +241,8 @@
                 2 => Lifecycle::Draining,
                 _ => return Err(msg.bad("lifecycle")),
             },
-            zone: place(&self.names.zones, msg.optional("hall", Value::as_str)?),
-            kind: place(&self.names.kinds, msg.optional("sku", Value::as_str)?),
+            zone: index_of(&self.names.zones, msg.optional("hall", Value::as_str)?),
+            kind: index_of(&self.names.kinds, msg.optional("sku", Value::as_str)?),
             cell: msg.optional("unit_group", whole)?.unwrap_or(0),
             weight: msg.optional("nominal", Value::as_f64)?.unwrap_or(0.0),
             started: msg.optional("born_ms", micros)?.unwrap_or(0),
@@ -256,7 +256,7 @@
 
 fn encode(now: Micros, action: &Action, out: &mut String) {
     let result = match action {
-        Action::Look { id, member, until } => write!(
+        Action::Lookup { id, member, until } => write!(
             out,
             r#"{{"m":"deliver","ticket":"{}","node":{},"abandon_at_ms":{}}}"#,
             ticket_text(*id),
