--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,8 +3,10 @@
 
 use bitternhold::*;
 
+/// A millisecond and a second.
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
+/// Member kinds.
 pub const CACHE: usize = 0;
 pub const PARENT: usize = 1;
 pub const ORIGIN: usize = 2;
@@ -62,6 +64,7 @@
     all
 }
 
+/// A request of class 0 that is valid for 3 seconds.
 pub fn request(id: u128, object: &str, now: Micros) -> Request {
     Request {
         id: RequestId(id),
@@ -76,6 +79,7 @@
     }
 }
 
+/// An outcome after 100 ms; a successful one is a hit and closes the request.
 pub fn outcome(id: u128, attempt: u32, member: MemberId, status: Status) -> Outcome {
     Outcome {
         id: RequestId(id),
@@ -90,35 +94,40 @@
     }
 }
 
+/// A director and its simulated clock.
 pub struct World {
     pub director: Director,
     pub now: Micros,
 }
 
 impl World {
+    /// A director that knows the members of [`fleet`].
     pub fn new(settings: Settings) -> Self {
         Self::with(settings, fleet())
     }
 
     pub fn with(settings: Settings, members: Vec<Member>) -> Self {
         let mut world = Self { director: Director::new(1, settings), now: 100 * S };
-        world.tell(Event::Members { kind: ListKind::Full, members });
+        world.handle(Event::Members { kind: ListKind::Full, members });
         world
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Passes an event to the director and returns its actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.director.handle(self.now, event, &mut out);
         out
     }
 
+    /// Sends a request for an object.
     pub fn ask(&mut self, id: u128, object: &str) -> Vec<Action> {
         let request = request(id, object, self.now);
-        self.tell(Event::Request(request))
+        self.handle(Event::Request(request))
     }
 
+    /// Ends an attempt.
     pub fn end(&mut self, id: u128, attempt: u32, member: MemberId, status: Status) -> Vec<Action> {
-        self.tell(Event::Outcome(outcome(id, attempt, member, status)))
+        self.handle(Event::Outcome(outcome(id, attempt, member, status)))
     }
 
     /// Sends a request and its successful outcome, so that nothing stays open.
@@ -129,6 +138,7 @@
     }
 }
 
+/// An attempt that the director sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub member: MemberId,
@@ -138,6 +148,7 @@
     pub mode: FillMode,
 }
 
+/// All attempts among the actions.
 pub fn sends(actions: &[Action]) -> Vec<Sent> {
     let one = |a: &Action| match *a {
         Action::Fetch { member, source, keep, max_age, mode, .. } => {
@@ -148,6 +159,7 @@
     actions.iter().filter_map(one).collect()
 }
 
+/// The only attempt among the actions.
 pub fn sent(actions: &[Action]) -> Sent {
     let all = sends(actions);
     assert_eq!(all.len(), 1, "one attempt: {actions:?}");
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -22,9 +22,9 @@
 /// Digest recorded with an implementation that sorted all members and searched the purges one by one.
 const RECORDED: u64 = 0x4459_9da9_fe29_3f2d;
 
-struct Draw(u64);
+struct Rng(u64);
 
-impl Draw {
+impl Rng {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound
@@ -60,58 +60,58 @@
     }
 }
 
-fn listed(draw: &mut Draw, id: u64, kind: usize, started: Micros) -> Member {
-    let weight = 1.0 + draw.below(400) as f64 / 16.0;
+fn random_member(rng: &mut Rng, id: u64, kind: usize, started: Micros) -> Member {
+    let weight = 1.0 + rng.below(400) as f64 / 16.0;
     Member { weight, started, ..member(id, kind) }
 }
 
-fn all_listed(draw: &mut Draw) -> Vec<Member> {
-    let mut all: Vec<Member> = (1..=CACHES).map(|id| listed(draw, id, CACHE, 0)).collect();
-    all.extend((0..PARENTS).map(|n| listed(draw, FIRST_PARENT + n, PARENT, 0)));
+fn random_members(rng: &mut Rng) -> Vec<Member> {
+    let mut all: Vec<Member> = (1..=CACHES).map(|id| random_member(rng, id, CACHE, 0)).collect();
+    all.extend((0..PARENTS).map(|n| random_member(rng, FIRST_PARENT + n, PARENT, 0)));
     all.push(member(ORIGIN_ID, ORIGIN));
     all
 }
 
 /// A change of one member: it drains, goes, comes back or restarts.
-fn change(draw: &mut Draw, now: Micros) -> Event {
-    let cache = draw.below(3) > 0;
+fn random_list_change(rng: &mut Rng, now: Micros) -> Event {
+    let cache = rng.below(3) > 0;
     let (id, kind) =
-        if cache { (1 + draw.below(CACHES), CACHE) } else { (FIRST_PARENT + draw.below(PARENTS), PARENT) };
-    let started = if draw.one_in(2) { now - draw.below(3 * S) } else { 0 };
+        if cache { (1 + rng.below(CACHES), CACHE) } else { (FIRST_PARENT + rng.below(PARENTS), PARENT) };
+    let started = if rng.one_in(2) { now - rng.below(3 * S) } else { 0 };
     let lifecycle = [Lifecycle::Ready, Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone];
-    let lifecycle = lifecycle[draw.below(4) as usize];
-    let members = vec![Member { lifecycle, ..listed(draw, id, kind, started) }];
+    let lifecycle = lifecycle[rng.below(4) as usize];
+    let members = vec![Member { lifecycle, ..random_member(rng, id, kind, started) }];
     Event::Members { kind: ListKind::Delta, members }
 }
 
-fn purge(draw: &mut Draw) -> Event {
-    let object = draw.below(4) > 0;
-    let name = format!("o{}", draw.below(OBJECTS));
-    Event::Purged { object: object.then_some(name), group: draw.below(16), age: draw.below(8 * S) }
+fn random_purge(rng: &mut Rng) -> Event {
+    let object = rng.below(4) > 0;
+    let name = format!("o{}", rng.below(OBJECTS));
+    Event::Purged { object: object.then_some(name), group: rng.below(16), age: rng.below(8 * S) }
 }
 
-fn drawn_request(draw: &mut Draw, id: u128, now: Micros) -> Request {
-    let object = draw.below(OBJECTS).min(draw.below(OBJECTS));
-    let own_copy = draw.one_in(6).then(|| OwnCopy {
-        age: draw.below(9 * S),
-        since_cache_hit: draw.below(9 * S),
-        delivery_time: draw.below(600 * MS),
+fn random_request(rng: &mut Rng, id: u128, now: Micros) -> Request {
+    let object = rng.below(OBJECTS).min(rng.below(OBJECTS));
+    let own_copy = rng.one_in(6).then(|| OwnCopy {
+        age: rng.below(9 * S),
+        since_cache_hit: rng.below(9 * S),
+        delivery_time: rng.below(600 * MS),
     });
     Request {
-        class: draw.below(6) as usize,
-        part: draw.below(3),
+        class: rng.below(6) as usize,
+        part: rng.below(3),
         group: object % 16,
-        size_kb: (draw.below(4) > 0).then_some(20.0 + draw.below(4_000) as f64),
+        size_kb: (rng.below(4) > 0).then_some(20.0 + rng.below(4_000) as f64),
         own_copy,
         ..request(id, &format!("o{object}"), now)
     }
 }
 
 /// A random outcome of an attempt.
-fn drawn_outcome(draw: &mut Draw, now: Micros, id: u128, attempt: u32, member: MemberId) -> Outcome {
+fn random_outcome(rng: &mut Rng, now: Micros, id: u128, attempt: u32, member: MemberId) -> Outcome {
     // Some members fail often, and at times all are slow.
     let faulty = member.0.is_multiple_of(9);
-    let status = match draw.below(if faulty { 12 } else { 60 }) {
+    let status = match rng.below(if faulty { 12 } else { 60 }) {
         0 => Status::Timeout,
         1 => Status::Reset,
         2 => Status::ConnectFailed,
@@ -123,58 +123,58 @@
     let notes = [Note::Hit, Note::Hit, Note::Filled, Note::FilledByOrigin, Note::Joined, Note::Stale];
     let faults = [Note::SourceRefused, Note::SourceUnreachable, Note::OriginFailed, Note::FillsFull];
     let note = match status {
-        Status::Ok => Some(notes[draw.below(6) as usize]),
-        Status::Error => draw.one_in(2).then(|| faults[draw.below(4) as usize]),
+        Status::Ok => Some(notes[rng.below(6) as usize]),
+        Status::Error => rng.one_in(2).then(|| faults[rng.below(4) as usize]),
         _ => None,
     };
     let jammed = (now / (3 * S)).is_multiple_of(3);
-    let elapsed = 20 * MS + draw.below(if jammed { 1_800 * MS } else { 200 * MS });
+    let elapsed = 20 * MS + rng.below(if jammed { 1_800 * MS } else { 200 * MS });
     Outcome { elapsed, note, closed: status == Status::Ok, ..outcome(id, attempt, member, status) }
 }
 
 /// Pending events by time, and by number in the order of their creation.
-type Due = BinaryHeap<Reverse<(Micros, u64)>>;
+type Pending = BinaryHeap<Reverse<(Micros, u64)>>;
 
 /// Plays a trace and returns all actions as text.
-fn actions_of(seed: u64) -> String {
-    let mut draw = Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
-    let members = all_listed(&mut draw);
+fn play_trace(seed: u64) -> String {
+    let mut rng = Rng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+    let members = random_members(&mut rng);
     let mut world = World::with(settings_of(seed), members);
-    let (mut due, mut events): (Due, HashMap<u64, Event>) = Default::default();
+    let (mut pending, mut events): (Pending, HashMap<u64, Event>) = Default::default();
     let mut attempts: HashMap<u128, u32> = HashMap::new();
-    let (mut written, mut made) = (String::new(), 0u64);
+    let (mut written, mut created) = (String::new(), 0u64);
     for id in 1..=REQUESTS {
-        world.now += 1 + draw.below(2 * SPACING);
-        let mut now_due = Vec::new();
-        while due.peek().is_some_and(|Reverse((at, _))| *at <= world.now) {
-            now_due.extend(due.pop().and_then(|Reverse((_, number))| events.remove(&number)));
+        world.now += 1 + rng.below(2 * SPACING);
+        let mut due = Vec::new();
+        while pending.peek().is_some_and(|Reverse((at, _))| *at <= world.now) {
+            due.extend(pending.pop().and_then(|Reverse((_, number))| events.remove(&number)));
         }
-        if draw.one_in(25) {
-            now_due.push(change(&mut draw, world.now));
+        if rng.one_in(25) {
+            due.push(random_list_change(&mut rng, world.now));
         }
-        if draw.one_in(4) {
-            now_due.push(purge(&mut draw));
+        if rng.one_in(4) {
+            due.push(random_purge(&mut rng));
         }
-        if draw.one_in(40) {
-            now_due.push(Event::ClientGone { id: RequestId(id.saturating_sub(1)) });
+        if rng.one_in(40) {
+            due.push(Event::ClientGone { id: RequestId(id.saturating_sub(1)) });
         }
-        now_due.push(Event::Request(drawn_request(&mut draw, id, world.now)));
-        for event in now_due {
-            for action in world.tell(event) {
+        due.push(Event::Request(random_request(&mut rng, id, world.now)));
+        for event in due {
+            for action in world.handle(event) {
                 let _ = writeln!(written, "{} {action:?}", world.now);
                 let (at, event) = match action {
                     Action::Fetch { id, member, .. } => {
                         let attempt = attempts.entry(id.0).or_default();
-                        let outcome = drawn_outcome(&mut draw, world.now, id.0, *attempt, member);
+                        let outcome = random_outcome(&mut rng, world.now, id.0, *attempt, member);
                         *attempt += 1;
                         (world.now + outcome.elapsed, Event::Outcome(outcome))
                     }
                     Action::Timer { delay, token } => (world.now + delay, Event::Timer { token }),
                     _ => continue,
                 };
-                made += 1;
-                due.push(Reverse((at, made)));
-                events.insert(made, event);
+                created += 1;
+                pending.push(Reverse((at, created)));
+                events.insert(created, event);
             }
         }
     }
@@ -188,23 +188,25 @@
 #[test]
 fn decisions_over_long_traces_match_the_recorded_digest() {
     let mut sum = 0xcbf2_9ce4_8422_2325;
-    let (mut fetched, mut refused, mut again, mut own) = (0, 0, 0, 0);
+    let (mut fetched, mut refused, mut quarantine_changes, mut own) = (0, 0, 0, 0);
     for seed in 0..SEEDS {
-        let written = actions_of(seed);
+        let written = play_trace(seed);
         let lines = |word: &str| written.lines().filter(|line| line.contains(word)).count();
         fetched += lines(" Fetch");
         refused += lines(" Refuse") + lines(" Fail");
-        again += lines(" set aside") + lines(" trusted again");
+        quarantine_changes += lines(" set aside") + lines(" trusted again");
         own += lines(" Own");
         sum = digest(&written, sum);
     }
-    println!("{fetched} sent, {refused} refused or failed, {own} own copies, {again} changes of quarantine");
+    println!(
+        "{fetched} sent, {refused} refused or failed, {own} own copies, {quarantine_changes} changes of quarantine"
+    );
     // The traces must reach the difficult cases: members at fault, refusals, own copies.
-    assert!(fetched > 30_000 && refused > 300 && again > 50 && own > 100);
+    assert!(fetched > 30_000 && refused > 300 && quarantine_changes > 50 && own > 100);
     assert_eq!(sum, RECORDED, "{sum:#018x}");
 }
 
 #[test]
 fn replaying_a_trace_gives_the_same_actions() {
-    assert!(actions_of(3) == actions_of(3));
+    assert!(play_trace(3) == play_trace(3));
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -57,20 +57,20 @@
 }
 
 const ROUTERS: u32 = 3;
-const SITES: [&str; 2] = ["parcels", "maps"];
-const BOXES: u64 = 5;
+const DEPLOYMENTS: [&str; 2] = ["parcels", "maps"];
+const CACHES: u64 = 5;
 /// Requests per second to each director.
 const RATE: u64 = 40;
 /// Start of the fault, since the start of the simulation.
-const FROM: Micros = 3 * S;
+const FAULT_START: Micros = 3 * S;
 /// End of the fault.
-const UNTIL: Micros = 7 * S;
+const FAULT_END: Micros = 7 * S;
 /// End of the requests.
-const END: Micros = 14 * S;
+const REQUESTS_END: Micros = 14 * S;
 
 /// Fault of cache 1, or of parent 11 where the variant says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Fault {
     None,
     /// Its process crashes: connections are refused, and it comes back cold.
     Crash,
@@ -81,7 +81,7 @@
     /// Connections can't be established and attempts in flight get no answer; it comes back cold.
     Vanish,
     /// All caches refuse connections.
-    Room,
+    AllCaches,
     /// Parent 11 can't be reached.
     Parent,
     /// The list reports it as draining, then gone.
@@ -92,24 +92,24 @@
 
 /// A scheduled event of the simulation.
 #[derive(Debug)]
-enum What {
-    Ask(usize),
-    End { router: usize, outcome: Outcome },
+enum Step {
+    SendRequest(usize),
+    Outcome { router: usize, outcome: Outcome },
     Timer { router: usize, token: u64 },
     Probe { router: usize, member: MemberId },
-    Told,
+    SendUpdates,
 }
 
 /// An attempt in flight.
-struct Out {
+struct InFlight {
     member: u64,
     sent: Micros,
 }
 
 /// Results of a simulation.
 #[derive(Default)]
-struct Day {
-    asked: u64,
+struct Results {
+    requests: u64,
     served: u64,
     refused: u64,
     failed: u64,
@@ -121,70 +121,70 @@
 
 struct Sim {
     settings: Settings,
-    trouble: Trouble,
+    fault: Fault,
     now: Micros,
     seq: u64,
-    queue: BTreeMap<(Micros, u64), What>,
+    queue: BTreeMap<(Micros, u64), Step>,
     routers: Vec<Director>,
-    open: BTreeMap<(usize, u128), BTreeMap<u32, Out>>,
-    tries: BTreeMap<(usize, u128), u32>,
+    open: BTreeMap<(usize, u128), BTreeMap<u32, InFlight>>,
+    attempts: BTreeMap<(usize, u128), u32>,
     deadlines: BTreeMap<(usize, u128), Micros>,
     /// Requests for objects of the purged group.
     purged: BTreeSet<(usize, u128)>,
     kept: BTreeSet<(u64, String)>,
-    day: Day,
+    results: Results,
 }
 
 impl Sim {
-    fn play(name: &str, trouble: Trouble) -> Day {
+    fn run(name: &str, fault: Fault) -> Results {
         let text = site(name);
         let site = SiteSettings::parse(text.as_object().unwrap());
-        let mut members: Vec<Member> = (1..=BOXES).map(|id| member(id, CACHE)).collect();
+        let mut members: Vec<Member> = (1..=CACHES).map(|id| member(id, CACHE)).collect();
         members.extend([member(11, PARENT), member(12, PARENT), member(20, ORIGIN)]);
         let routers = (0..ROUTERS).map(|index| Settings { index, ..site.settings.clone() });
         let mut sim = Sim {
-            trouble,
+            fault,
             now: 100 * S,
             seq: 0,
             queue: BTreeMap::new(),
             routers: routers.enumerate().map(|(n, s)| Director::new(n as u64 + 1, s)).collect(),
             settings: site.settings,
             open: BTreeMap::new(),
-            tries: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             deadlines: BTreeMap::new(),
             purged: BTreeSet::new(),
             kept: BTreeSet::new(),
-            day: Day::default(),
+            results: Results::default(),
         };
         for router in 0..sim.routers.len() {
-            sim.tell(router, Event::Members { kind: ListKind::Full, members: members.clone() });
-            sim.at(10 * MS * router as Micros, What::Ask(router));
+            sim.handle(router, Event::Members { kind: ListKind::Full, members: members.clone() });
+            sim.at(10 * MS * router as Micros, Step::SendRequest(router));
         }
-        for at in [FROM, FROM + S, UNTIL] {
-            sim.at(at, What::Told);
+        for at in [FAULT_START, FAULT_START + S, FAULT_END] {
+            sim.at(at, Step::SendUpdates);
         }
-        while let Some(((at, _), what)) = sim.queue.pop_first() {
+        while let Some(((at, _), step)) = sim.queue.pop_first() {
             sim.now = at;
-            sim.event(what);
+            sim.event(step);
         }
-        sim.day
+        sim.results
     }
 
-    fn at(&mut self, after: Micros, what: What) {
+    fn at(&mut self, after: Micros, step: Step) {
         self.seq += 1;
-        self.queue.insert((self.now.max(100 * S) + after, self.seq), what);
+        self.queue.insert((self.now.max(100 * S) + after, self.seq), step);
     }
 
     fn since(&self) -> Micros {
         self.now - 100 * S
     }
 
-    fn event(&mut self, what: What) {
-        match what {
-            What::Ask(router) if self.since() < END => {
-                self.day.asked += 1;
-                let id = u128::from(self.day.asked);
-                let draw = self.day.asked.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
+    fn event(&mut self, step: Step) {
+        match step {
+            Step::SendRequest(router) if self.elapsed() < REQUESTS_END => {
+                self.results.requests += 1;
+                let id = u128::from(self.results.requests);
+                let draw = self.results.requests.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
                 let class = [0, 0, 1, 1, 1, 2][draw as usize % 6];
                 let object = format!("o{}", (draw >> 3) % 60 * ((draw >> 9) % 3 + 1));
                 let deadline = self.settings.classes[class].deadline;
@@ -204,41 +204,42 @@
                 if draw % 4 == 2 && class != 2 {
                     self.purged.insert((router, id));
                 }
-                self.tell(router, Event::Request(request));
-                self.at(S / RATE, What::Ask(router));
+                self.handle(router, Event::Request(request));
+                self.at(S / RATE, Step::SendRequest(router));
             }
-            What::Ask(_) => {}
-            What::End { router, outcome } => {
+            Step::SendRequest(_) => {}
+            Step::Outcome { router, outcome } => {
                 let id = outcome.id.0;
                 let out = self.open.get_mut(&(router, id)).and_then(|all| all.remove(&outcome.attempt));
                 if out.is_some() {
-                    let closed = self.day.answers.contains_key(&(router, id));
+                    let closed = self.results.answers.contains_key(&(router, id));
                     if outcome.status == Status::Ok && !closed {
                         self.answer(router, id);
-                        self.day.served += 1;
+                        self.results.served += 1;
                     }
-                    let closed = self.day.answers.contains_key(&(router, id));
-                    self.tell(router, Event::Outcome(Outcome { closed, ..outcome }));
+                    let closed = self.results.answers.contains_key(&(router, id));
+                    self.handle(router, Event::Outcome(Outcome { closed, ..outcome }));
                 }
             }
-            What::Timer { router, token } => self.tell(router, Event::Timer { token }),
-            What::Probe { router, member } => {
-                let ill = self.ill(member.0).is_some();
-                let (status, elapsed) = if ill { (Status::Timeout, 400 * MS) } else { (Status::Ok, 2 * MS) };
-                self.tell(router, Event::Probed { member, status, elapsed, load: None });
+            Step::Timer { router, token } => self.handle(router, Event::Timer { token }),
+            Step::Probe { router, member } => {
+                let failure = self.failure(member.0).is_some();
+                let (status, elapsed) =
+                    if failure { (Status::Timeout, 400 * MS) } else { (Status::Ok, 2 * MS) };
+                self.handle(router, Event::Probed { member, status, elapsed, load: None });
             }
-            What::Told => self.told(),
+            Step::SendUpdates => self.send_updates(),
         }
     }
 
     /// Sends the list updates and the purge that are due.
-    fn told(&mut self) {
-        let since = self.since();
+    fn send_updates(&mut self) {
+        let since = self.elapsed();
         let state = |lifecycle, started| Member { lifecycle, started, ..member(1, CACHE) };
-        let entry = match (self.trouble, since) {
-            (Trouble::Drain, FROM) => Some(state(Lifecycle::Draining, 0)),
-            (Trouble::Drain, at) if at < UNTIL => Some(state(Lifecycle::Gone, 0)),
-            (Trouble::Drain | Trouble::Crash | Trouble::Vanish, UNTIL) => {
+        let entry = match (self.fault, since) {
+            (Fault::Drain, FAULT_START) => Some(state(Lifecycle::Draining, 0)),
+            (Fault::Drain, at) if at < FAULT_END => Some(state(Lifecycle::Gone, 0)),
+            (Fault::Drain | Fault::Crash | Fault::Vanish, FAULT_END) => {
                 self.kept.retain(|(id, _)| *id != 1);
                 Some(state(Lifecycle::Ready, self.now))
             }
@@ -246,28 +247,28 @@
         };
         for router in 0..self.routers.len() {
             if let Some(entry) = entry.clone() {
-                self.tell(router, Event::Members { kind: ListKind::Delta, members: vec![entry] });
+                self.handle(router, Event::Members { kind: ListKind::Delta, members: vec![entry] });
             }
-            if self.trouble == Trouble::Purge && since == FROM {
-                self.tell(router, Event::Purged { object: None, group: 2, age: 0 });
+            if self.fault == Fault::Purge && since == FAULT_START {
+                self.handle(router, Event::Purged { object: None, group: 2, age: 0 });
             }
         }
     }
 
-    fn ill(&self, member: u64) -> Option<Status> {
-        let during = (FROM..UNTIL).contains(&self.since());
-        match self.trouble {
+    fn failure(&self, member: u64) -> Option<Status> {
+        let during = (FAULT_START..FAULT_END).contains(&self.elapsed());
+        match self.fault {
             _ if !during => None,
-            Trouble::Crash if member == 1 => Some(Status::ConnectFailed),
-            Trouble::Drain if member == 1 && self.since() > FROM + S => Some(Status::ConnectFailed),
-            Trouble::Room if member <= BOXES => Some(Status::ConnectFailed),
-            Trouble::Errors if member == 1 => Some(Status::Error),
-            Trouble::Hang | Trouble::Vanish if member == 1 => Some(Status::Timeout),
+            Fault::Crash if member == 1 => Some(Status::ConnectFailed),
+            Fault::Drain if member == 1 && self.elapsed() > FAULT_START + S => Some(Status::ConnectFailed),
+            Fault::AllCaches if member <= CACHES => Some(Status::ConnectFailed),
+            Fault::Errors if member == 1 => Some(Status::Error),
+            Fault::Hang | Fault::Vanish if member == 1 => Some(Status::Timeout),
             _ => None,
         }
     }
 
-    fn tell(&mut self, router: usize, event: Event) {
+    fn handle(&mut self, router: usize, event: Event) {
         let mut out = Vec::new();
         self.routers[router].handle(self.now, event, &mut out);
         for action in out {
@@ -276,8 +277,8 @@
     }
 
     fn answer(&mut self, router: usize, id: u128) {
-        let since = self.since();
-        let answers = self.day.answers.entry((router, id)).or_default();
+        let since = self.elapsed();
+        let answers = self.results.answers.entry((router, id)).or_default();
         *answers += 1;
         assert_eq!(*answers, 1, "request {id} of director {router} has a second answer at {since}");
     }
@@ -295,30 +296,30 @@
             Action::Cancel { id, attempt } => {
                 // The attempt is no longer in flight, and its end is reported.
                 if let Some(out) = self.open.get_mut(&(router, id.0)).and_then(|all| all.remove(&attempt)) {
-                    let closed = self.day.answers.contains_key(&(router, id.0));
+                    let closed = self.results.answers.contains_key(&(router, id.0));
                     let outcome = Outcome {
                         elapsed: self.now - out.sent,
                         closed,
                         note: None,
                         ..common::outcome(id.0, attempt, MemberId(out.member), Status::Cancelled)
                     };
-                    self.tell(router, Event::Outcome(outcome));
+                    self.handle(router, Event::Outcome(outcome));
                 }
             }
             Action::Refuse { id, wait } => {
                 assert!(wait <= self.settings.max_retry_after, "retry delay that no client obeys: {wait}");
                 self.answer(router, id.0);
-                self.day.refused += 1;
+                self.results.refused += 1;
             }
             Action::Fail { id } => {
                 self.answer(router, id.0);
-                self.day.failed += 1;
+                self.results.failed += 1;
             }
             Action::Own { .. } => panic!("answered with an own copy that doesn't exist"),
-            Action::Timer { delay, token } => self.at(delay, What::Timer { router, token }),
+            Action::Timer { delay, token } => self.at(delay, Step::Timer { router, token }),
             Action::Probe { member } => {
                 assert!(self.settings.probes, "probe sent although probes are not allowed");
-                self.at(2 * MS, What::Probe { router, member });
+                self.at(2 * MS, Step::Probe { router, member });
             }
             Action::Watch | Action::FetchList | Action::Log(_) => {}
         }
@@ -328,48 +329,54 @@
     /// that excludes them.
     fn age(&self, router: usize, id: u128, max_age: Option<Micros>) {
         let Settings { purge_grace, purge_complete_within, .. } = self.settings;
-        let concerned = self.trouble == Trouble::Purge && self.purged.contains(&(router, id));
-        if concerned && (FROM + purge_grace..FROM + purge_complete_within).contains(&self.since()) {
-            let young = max_age.is_some_and(|age| age <= self.since() - FROM);
-            assert!(young, "{max_age:?} allows copies older than the purge {} ago", self.since() - FROM);
+        let concerned = self.fault == Fault::Purge && self.purged.contains(&(router, id));
+        if concerned
+            && (FAULT_START + purge_grace..FAULT_START + purge_complete_within).contains(&self.elapsed())
+        {
+            let young = max_age.is_some_and(|age| age <= self.elapsed() - FAULT_START);
+            assert!(
+                young,
+                "{max_age:?} allows copies older than the purge {} ago",
+                self.elapsed() - FAULT_START
+            );
         }
     }
 
     fn send(&mut self, router: usize, id: u128, member: u64, source: u64, until: Micros, look: Option<()>) {
         let key = (router, id);
         let until = if until == 0 { self.deadlines[&key] } else { until.min(self.deadlines[&key]) };
-        let tries = self.tries.entry(key).or_default();
-        let attempt = *tries;
-        *tries += 1;
+        let attempts = self.attempts.entry(key).or_default();
+        let attempt = *attempts;
+        *attempts += 1;
         assert!(attempt < self.settings.max_attempts, "request {id} has attempt {attempt}");
-        assert!(!self.day.answers.contains_key(&key), "attempt after the final answer");
+        assert!(!self.results.answers.contains_key(&key), "attempt after the final answer");
         let out = self.open.get_mut(&key).expect("an open request");
         if !self.settings.second_copies {
             assert!(out.is_empty(), "two attempts of request {id} at a time, at {}", self.now - 100 * S);
         }
-        out.insert(attempt, Out { member, sent: self.now });
+        out.insert(attempt, InFlight { member, sent: self.now });
         // Targets and sources that the settings allow.
-        assert!(member <= BOXES, "attempt to {member}, which is not a cache");
+        assert!(member <= CACHES, "attempt to {member}, which is not a cache");
         if self.settings.siblings == Siblings::None {
-            assert!(source == member || source > BOXES, "source {source} is not allowed");
+            assert!(source == member || source > CACHES, "source {source} is not allowed");
         }
-        if self.trouble == Trouble::Drain && (FROM + S..UNTIL).contains(&self.since()) {
+        if self.fault == Fault::Drain && (FAULT_START + S..FAULT_END).contains(&self.elapsed()) {
             assert!(
                 member != 1 && source != 1,
                 "cache 1 is target or source although it is draining or gone, at {}",
-                self.since()
+                self.elapsed()
             );
         }
-        let started = [Trouble::Drain, Trouble::Crash, Trouble::Vanish].contains(&self.trouble);
-        if started && self.since() >= UNTIL && member == 1 {
-            *self.day.cold.entry((self.since() - UNTIL) / (S / 2)).or_default() += 1.0;
+        let started = [Fault::Drain, Fault::Crash, Fault::Vanish].contains(&self.fault);
+        if started && self.elapsed() >= FAULT_END && member == 1 {
+            *self.results.cold.entry((self.elapsed() - FAULT_END) / (S / 2)).or_default() += 1.0;
         }
         // Determines the outcome.
         let object = format!("{member}");
         let kept = self.kept.contains(&(member, object.clone()));
         let parent_gone =
-            self.trouble == Trouble::Parent && source == 11 && (FROM..UNTIL).contains(&self.since());
-        let (status, after, note) = match self.ill(member) {
+            self.fault == Fault::Parent && source == 11 && (FAULT_START..FAULT_END).contains(&self.elapsed());
+        let (status, after, note) = match self.failure(member) {
             Some(Status::Timeout) => (Status::Timeout, until.saturating_sub(self.now), None),
             Some(status) => (status, 5 * MS, None),
             None if look.is_some() && !kept => (Status::Miss, 4 * MS, None),
@@ -383,7 +390,7 @@
         let note = note.filter(|_| self.settings.notes != Notes::Nothing || status != Status::Ok);
         let outcome =
             Outcome { elapsed: after, note, ..common::outcome(id, attempt, MemberId(member), status) };
-        self.at(after.max(1), What::End { router, outcome });
+        self.at(after.max(1), Step::Outcome { router, outcome });
     }
 }
 
@@ -392,21 +399,25 @@
 /// stay within the settings, and most requests are still served.
 #[test]
 fn both_deployments_keep_the_rules_under_every_fault() {
-    use Trouble::{Crash, Drain, Errors, Hang, None, Parent, Purge, Room, Vanish};
-    for name in SITES {
-        for trouble in [None, Crash, Errors, Hang, Vanish, Room, Parent, Drain, Purge] {
-            let day = Sim::play(name, trouble);
-            let answered = day.answers.len() as u64;
-            assert_eq!(answered, day.asked, "{name}, {trouble:?}: requests without a final answer");
-            assert_eq!(day.served + day.refused + day.failed, day.asked, "{name}, {trouble:?}");
+    use Fault::{AllCaches, Crash, Drain, Errors, Hang, None, Parent, Purge, Vanish};
+    for name in DEPLOYMENTS {
+        for fault in [None, Crash, Errors, Hang, Vanish, AllCaches, Parent, Drain, Purge] {
+            let results = Sim::run(name, fault);
+            let answered = results.answers.len() as u64;
+            assert_eq!(answered, results.requests, "{name}, {fault:?}: requests without a final answer");
+            assert_eq!(
+                results.served + results.refused + results.failed,
+                results.requests,
+                "{name}, {fault:?}"
+            );
             // Without caches for four of fourteen seconds no more can be served.
-            let least = if trouble == Room { 0.6 } else { 0.9 };
-            let share = day.served as f64 / day.asked as f64;
+            let min_share = if fault == AllCaches { 0.6 } else { 0.9 };
+            let share = results.served as f64 / results.requests as f64;
             assert!(
-                share >= least,
-                "{name}, {trouble:?}: {share:.3} served, {} refused, {} failed",
-                day.refused,
-                day.failed
+                share >= min_share,
+                "{name}, {fault:?}: {share:.3} served, {} refused, {} failed",
+                results.refused,
+                results.failed
             );
         }
     }
@@ -415,28 +426,28 @@
 /// A cache that restarts cold must not be overloaded by the sum of all directors' attempts, nor get too few of them.
 #[test]
 fn a_cache_that_restarts_cold_gets_its_budget_from_all_directors_together() {
-    for name in SITES {
-        for trouble in [Trouble::Crash, Trouble::Vanish, Trouble::Drain] {
-            let day = Sim::play(name, trouble);
+    for name in DEPLOYMENTS {
+        for fault in [Fault::Crash, Fault::Vanish, Fault::Drain] {
+            let results = Sim::run(name, fault);
             let settings = SiteSettings::parse(site(name).as_object().unwrap()).settings;
             // Its share when warm is a fifth of the load, which is what it is sized for.
-            let warm = (u64::from(ROUTERS) * RATE) as f64 / BOXES as f64 / 2.0;
-            let most = |half: Micros| {
+            let warm = (u64::from(ROUTERS) * RATE) as f64 / CACHES as f64 / 2.0;
+            let allowed = |half: Micros| {
                 let warmed = (half + 1) as f64 * 0.5 / (settings.cold_duration as f64 / S as f64);
                 let part = settings.cold_start_share + (1.0 - settings.cold_start_share) * warmed;
                 warm * part * settings.overload_multiple
             };
-            for (half, sent) in &day.cold {
+            for (half, sent) in &results.cold {
                 assert!(
-                    *sent <= most(*half) + 3.0 * most(*half).sqrt(),
-                    "{name}, {trouble:?}: {half}: {:?}",
-                    day.cold
+                    *sent <= allowed(*half) + 3.0 * allowed(*half).sqrt(),
+                    "{name}, {fault:?}: {half}: {:?}",
+                    results.cold
                 );
             }
             assert!(
-                day.cold.values().sum::<f64>() > 5.0,
-                "{name}, {trouble:?}: too few attempts: {:?}",
-                day.cold
+                results.cold.values().sum::<f64>() > 5.0,
+                "{name}, {fault:?}: too few attempts: {:?}",
+                results.cold
             );
         }
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,14 +6,14 @@
 use common::*;
 
 /// One world for each of the directors.
-fn all(directors: u32) -> Vec<World> {
+fn worlds(directors: u32) -> Vec<World> {
     let settings = Settings { directors, zone_directors: vec![0, directors], ..settings() };
     (0..directors).map(|index| World::new(Settings { index, ..settings.clone() })).collect()
 }
 
 /// Number of fills that may go on to the origin when each director gets requests for `each` objects and nothing is
 /// answered.
-fn full_fills(fleet: &mut [World], each: u128) -> usize {
+fn origin_fills(fleet: &mut [World], each: u128) -> usize {
     let fills = |w: &mut World| -> usize {
         let sent = (0..each).flat_map(|id| sends(&w.ask(id + 1, &format!("o{id}"))));
         sent.filter(|s| s.source != s.member && !s.mode.held_only).count()
@@ -25,9 +25,9 @@
 /// limit times the number of directors before the first fill is late.
 #[test]
 fn the_initial_limit_is_shared_by_the_fleet() {
-    for (directors, most) in [(3, 120), (30, 120), (100, 400), (300, 1200)] {
-        let sum = full_fills(&mut all(directors), 50);
-        assert!(sum <= most && sum * 10 >= most * 9, "{directors} directors: {sum}");
+    for (directors, allowed) in [(3, 120), (30, 120), (100, 400), (300, 1200)] {
+        let sum = origin_fills(&mut worlds(directors), 50);
+        assert!(sum <= allowed && sum * 10 >= allowed * 9, "{directors} directors: {sum}");
     }
 }
 
@@ -36,7 +36,7 @@
 /// falls.
 #[test]
 fn a_fill_found_running_is_late_and_still_counts_as_in_flight() {
-    let few = |found: Option<Note>| {
+    let remaining_fills = |found: Option<Note>| {
         let mut settings = Settings { directors: 100, second_copies: true, join_fills: false, ..settings() };
         settings.zone_directors = vec![0, 10];
         let mut w = World::new(settings);
@@ -50,15 +50,15 @@
                 panic!("attempt without a timer: {out:?}")
             };
             w.now += *delay;
-            if !sends(&w.tell(Event::Timer { token: *token })).is_empty() {
+            if !sends(&w.handle(Event::Timer { token: *token })).is_empty() {
                 let look = Outcome { note: found, ..outcome(next, 1, member, Status::Miss) };
-                w.tell(Event::Outcome(look));
+                w.handle(Event::Outcome(look));
             }
         }
-        full_fills(std::slice::from_mut(&mut w), 50)
+        origin_fills(std::slice::from_mut(&mut w), 50)
     };
     // No copy and no fill: the answers were lost, and the limit of four is free for new fills. Running: it is late.
-    assert_eq!((few(None), few(Some(Note::Joined))), (4, 0));
+    assert_eq!((remaining_fills(None), remaining_fills(Some(Note::Joined))), (4, 0));
 }
 
 /// Requests an object for each id; fills from parent 11 fail, as it is gone, and all others are in time.
@@ -69,8 +69,10 @@
             let dead = s.source == MemberId(11);
             let (status, note) =
                 if dead { (Status::Full, Note::SourceUnreachable) } else { (Status::Ok, Note::Filled) };
-            out = w
-                .tell(Event::Outcome(Outcome { note: Some(note), ..outcome(id, attempt, s.member, status) }));
+            out = w.handle(Event::Outcome(Outcome {
+                note: Some(note),
+                ..outcome(id, attempt, s.member, status)
+            }));
             attempt += 1;
         }
     }
@@ -82,7 +84,7 @@
 fn refusals_of_a_lost_parent_do_not_reduce_the_limit_of_all_fills() {
     let mut w = World::new(settings());
     with_a_dead_parent(&mut w, 1..6);
-    assert!(full_fills(std::slice::from_mut(&mut w), 40) >= 39);
+    assert!(origin_fills(std::slice::from_mut(&mut w), 40) >= 39);
 }
 
 /// Guards against a fleet that fills from a lost parent as long as the healthy ones have no room: a quarantined parent
@@ -99,6 +101,6 @@
     assert!(sources.iter().filter(|s| **s == MemberId(20)).count() >= 18, "{sources:?}");
     // Without an origin in the list a quarantined parent is better than none.
     let origin = Member { lifecycle: Lifecycle::Gone, ..member(20, ORIGIN) };
-    w.tell(Event::Members { kind: ListKind::Delta, members: vec![origin] });
+    w.handle(Event::Members { kind: ListKind::Delta, members: vec![origin] });
     assert_eq!(sent(&w.ask(200, "q")).source, MemberId(11));
 }
--- a/tests/inherited.rs
+++ b/tests/inherited.rs
@@ -6,8 +6,8 @@
 use bitternhold::*;
 use common::*;
 
-fn told(world: &mut World, members: Vec<InheritedMember>) {
-    world.tell(Event::Inherited(Inherited { members, ..Inherited::default() }));
+fn inherit(world: &mut World, members: Vec<InheritedMember>) {
+    world.handle(Event::Inherited(Inherited { members, ..Inherited::default() }));
 }
 
 fn faulty(id: u64, quarantine: Micros) -> InheritedMember {
@@ -21,7 +21,7 @@
 }
 
 /// Number of first attempts that went to this cache, of requests for 60 objects.
-fn share(world: &mut World, from: u128, cache: u64) -> usize {
+fn first_attempts(world: &mut World, from: u128, cache: u64) -> usize {
     (from..from + 60).filter(|id| world.serve(*id, &format!("o{id}")).member == MemberId(cache)).count()
 }
 
@@ -30,26 +30,26 @@
 #[test]
 fn a_member_quarantined_by_others_gets_no_attempts_until_its_probation() {
     let mut world = World::new(settings());
-    told(&mut world, vec![faulty(1, 3 * S)]);
-    assert_eq!(share(&mut world, 1, 1), 0);
+    inherit(&mut world, vec![faulty(1, 3 * S)]);
+    assert_eq!(first_attempts(&mut world, 1, 1), 0);
     world.now += 4 * S;
-    assert!(share(&mut world, 100, 1) > 5, "trusted again after successful answers");
+    assert!(first_attempts(&mut world, 100, 1) > 5, "trusted again after successful answers");
 }
 
 /// Guards against outdated reports: the director's own observations take precedence.
 #[test]
 fn inherited_observations_count_little_for_a_member_with_many_attempts() {
     let mut world = World::new(settings());
-    assert!(share(&mut world, 1, 1) > 5);
-    told(&mut world, vec![faulty(1, 3 * S)]);
-    assert!(share(&mut world, 100, 1) > 5);
+    assert!(first_attempts(&mut world, 1, 1) > 5);
+    inherit(&mut world, vec![faulty(1, 3 * S)]);
+    assert!(first_attempts(&mut world, 100, 1) > 5);
 }
 
 #[test]
 fn observations_of_an_earlier_process_change_nothing() {
     let mut world = World::new(settings());
-    told(&mut world, vec![InheritedMember { started: 5, ..faulty(1, 3 * S) }]);
-    assert!(share(&mut world, 1, 1) > 5);
+    inherit(&mut world, vec![InheritedMember { started: 5, ..faulty(1, 3 * S) }]);
+    assert!(first_attempts(&mut world, 1, 1) > 5);
 }
 
 /// A limit that others found applies to a new director before it has detected the congestion itself.
@@ -63,7 +63,7 @@
                 concurrency: InheritedLimit { limit, late_rate: 0.0, weight: 1.0 },
                 ..InheritedMember::default()
             };
-            told(&mut world, (1..=4).map(of).collect());
+            inherit(&mut world, (1..=4).map(of).collect());
         }
         (1..=60).filter(|id| !sends(&world.ask(*id, &format!("o{id}"))).is_empty()).count()
     };
@@ -79,12 +79,13 @@
     let report = donor.director.report(donor.now);
     assert_eq!(report.seen_ids[0].len(), 1);
     let mut world = World::with(Settings { zone_directors: vec![0, 1], ..settings() }, fleet());
-    world.tell(Event::Inherited(Inherited { seen_ids: report.seen_ids[0].clone(), ..Inherited::default() }));
+    world
+        .handle(Event::Inherited(Inherited { seen_ids: report.seen_ids[0].clone(), ..Inherited::default() }));
     assert_eq!(world.serve(1, "popular").keep, Keep::Middle);
     assert_eq!(world.serve(2, "other").keep, Keep::Pass);
     // A director reports only the objects requested of it, not the inherited ones.
     let mut idle = World::with(settings(), fleet());
-    idle.tell(Event::Inherited(Inherited { seen_ids: report.seen_ids[0].clone(), ..Inherited::default() }));
+    idle.handle(Event::Inherited(Inherited { seen_ids: report.seen_ids[0].clone(), ..Inherited::default() }));
     assert_eq!(idle.director.report(idle.now).seen_ids, [Vec::<u64>::new(), vec![]]);
 }
 
@@ -104,24 +105,24 @@
     let mut fleet = fleet();
     fleet[0].lifecycle = Lifecycle::Draining;
     let mut world = World::with(settings(), fleet);
-    let well = |id| InheritedMember {
+    let healthy = |id| InheritedMember {
         id: MemberId(id),
         fault_rate_weight: 1.0,
         concurrency: InheritedLimit { limit: 1e6, late_rate: 0.0, weight: 1.0 },
         ..faulty(id, 0)
     };
-    told(&mut world, vec![well(1), well(77)]);
-    assert_eq!(share(&mut world, 1, 1) + share(&mut world, 100, 77), 0);
+    inherit(&mut world, vec![healthy(1), healthy(77)]);
+    assert_eq!(first_attempts(&mut world, 1, 1) + first_attempts(&mut world, 100, 77), 0);
 }
 
 /// The limits that others found for all fills, and for fills by the origin, apply to a new director's first fills.
 #[test]
 fn an_inherited_limit_of_fills_applies() {
-    let fills = |told: Option<[f64; 2]>| {
+    let fills = |inherited: Option<[f64; 2]>| {
         let mut world = World::new(Settings { zone_directors: vec![0, 1], ..settings() });
-        if let Some(limits) = told {
+        if let Some(limits) = inherited {
             let fills = limits.map(|limit| InheritedLimit { limit, late_rate: 0.5, weight: 1.0 });
-            world.tell(Event::Inherited(Inherited { fills, ..Inherited::default() }));
+            world.handle(Event::Inherited(Inherited { fills, ..Inherited::default() }));
         }
         let sent: Vec<Sent> = (1..=40).flat_map(|id| sends(&world.ask(id, &format!("o{id}")))).collect();
         let filled = sent.iter().filter(|s| s.source != s.member);
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -5,7 +5,7 @@
 use common::*;
 
 /// First attempts of requests for `n` objects.
-fn homes(world: &mut World, n: u128) -> Vec<Sent> {
+fn first_attempts(world: &mut World, n: u128) -> Vec<Sent> {
     (0..n).map(|i| world.serve(i, &format!("object-{i}"))).collect()
 }
 
@@ -13,8 +13,8 @@
 fn all_directors_choose_the_same_members_and_spread_the_objects() {
     let (mut a, mut b) = (World::new(settings()), World::new(Settings { index: 1, ..settings() }));
     b.director = Director::new(99, Settings { index: 1, ..settings() });
-    b.tell(Event::Members { kind: ListKind::Cached, members: fleet() });
-    let (x, y) = (homes(&mut a, 200), homes(&mut b, 200));
+    b.handle(Event::Members { kind: ListKind::Cached, members: fleet() });
+    let (x, y) = (first_attempts(&mut a, 200), first_attempts(&mut b, 200));
     assert!(x.iter().zip(&y).all(|(x, y)| (x.member, x.source) == (y.member, y.source)));
     for id in 1..=4 {
         assert!(x.iter().filter(|s| s.member == MemberId(id)).count() > 25);
@@ -25,7 +25,7 @@
 fn a_leaving_cache_moves_only_its_own_objects() {
     let mut before = World::new(settings());
     let mut after = World::with(settings(), fleet().into_iter().filter(|m| m.id.0 != 2).collect());
-    for (x, y) in homes(&mut before, 200).iter().zip(homes(&mut after, 200)) {
+    for (x, y) in first_attempts(&mut before, 200).iter().zip(first_attempts(&mut after, 200)) {
         assert!(x.member == y.member || x.member == MemberId(2));
         assert_eq!(x.source, y.source);
     }
@@ -37,8 +37,8 @@
     let mut there = World::new(Settings { zone: 0, zone_hub: vec![1, 1], ..settings() });
     let mut caches = fleet();
     caches.iter_mut().for_each(|m| m.zone = 0);
-    there.tell(Event::Members { kind: ListKind::Full, members: caches });
-    for (x, y) in homes(&mut here, 100).iter().zip(homes(&mut there, 100)) {
+    there.handle(Event::Members { kind: ListKind::Full, members: caches });
+    for (x, y) in first_attempts(&mut here, 100).iter().zip(first_attempts(&mut there, 100)) {
         assert_eq!(x.source, y.source);
         assert!([11, 12].contains(&x.source.0));
     }
@@ -51,7 +51,7 @@
         members[0].started = 100 * S - age;
         // A large budget, so that only the ramp limits the share.
         let mut w = World::with(Settings { overload_multiple: 1e6, ..settings() }, members);
-        homes(&mut w, 400).iter().filter(|s| s.member == MemberId(1)).count()
+        first_attempts(&mut w, 400).iter().filter(|s| s.member == MemberId(1)).count()
     };
     let (young, middle, old) = (share(100 * MS), share(5 * S), share(10 * S));
     assert!(young * 2 < middle && middle < old, "{young} {middle} {old}");
@@ -70,7 +70,7 @@
     let mut seen = Vec::new();
     for part in 0..16 {
         let r = Request { part, ..request(u128::from(part), "video", w.now) };
-        let s = sent(&w.tell(Event::Request(r)));
+        let s = sent(&w.handle(Event::Request(r)));
         w.end(u128::from(part), 0, s.member, Status::Ok);
         seen.push(s);
     }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -6,9 +6,9 @@
 use bitternhold::*;
 use common::*;
 
-struct Random(u64);
+struct Rng(u64);
 
-impl Random {
+impl Rng {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % n
@@ -17,68 +17,73 @@
 
 #[derive(Default)]
 struct Case {
-    out: Vec<(u32, MemberId, bool)>,
+    in_flight: Vec<(u32, MemberId, bool)>,
     sent: u32,
     answers: u32,
-    effect: usize,
+    kind: usize,
     may_have_run: bool,
     group: u64,
     valid_until: Micros,
 }
 
 fn run(seed: u64) -> Vec<Action> {
-    let mut r = Random(seed);
+    let mut rng = Rng(seed);
     let kinds = [Idempotency::Idempotent, Idempotency::Deduplicated, Idempotency::AtMostOnce];
     let classes =
         kinds.map(|idempotency| Class { idempotency, dedup_group: DedupGroup::Zone, ..class() }).to_vec();
-    let notes = [Notes::All, Notes::Hit, Notes::Nothing][r.below(3) as usize];
-    let weights = [Weights::Unknown, Weights::Nominal][r.below(2) as usize];
+    let notes = [Notes::All, Notes::Hit, Notes::Nothing][rng.below(3) as usize];
+    let weights = [Weights::Unknown, Weights::Nominal][rng.below(2) as usize];
     let mut w = World::new(Settings { classes, notes, weights, ..settings() });
     let mut state: BTreeMap<u64, Lifecycle> = fleet().iter().map(|m| (m.id.0, Lifecycle::Ready)).collect();
     let mut cases: BTreeMap<u128, Case> = BTreeMap::new();
     let (mut all, mut purged) = (Vec::new(), BTreeMap::<u64, Micros>::new());
     for step in 0..1_500u128 {
-        w.now += r.below(30) * MS;
-        let out = match r.below(20) {
+        w.now += rng.below(30) * MS;
+        let out = match rng.below(20) {
             0 => {
-                let id = [1, 2, 3, 4, 11, 12][r.below(6) as usize];
-                let lifecycle = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone][r.below(3) as usize];
+                let id = [1, 2, 3, 4, 11, 12][rng.below(6) as usize];
+                let lifecycle =
+                    [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone][rng.below(3) as usize];
                 state.insert(id, lifecycle);
                 let kind = if id > 10 { PARENT } else { CACHE };
-                let m = Member { lifecycle, started: w.now, weight: r.below(3) as f64, ..member(id, kind) };
-                w.tell(Event::Members { kind: ListKind::Delta, members: vec![m] })
+                let m = Member { lifecycle, started: w.now, weight: rng.below(3) as f64, ..member(id, kind) };
+                w.handle(Event::Members { kind: ListKind::Delta, members: vec![m] })
             }
             1 => {
-                let (group, age) = (r.below(4), r.below(7_000) * MS);
+                let (group, age) = (rng.below(4), rng.below(7_000) * MS);
                 let at = purged.entry(group).or_default();
                 *at = (*at).max(w.now - age);
-                w.tell(Event::Purged { object: None, group, age })
-            }
-            2 => w.tell(Event::Timer { token: r.below(3) }),
-            3 => {
-                w.end(u128::from(9_000 + r.below(99)), r.below(9) as u32, MemberId(r.below(99)), Status::Full)
+                w.handle(Event::Purged { object: None, group, age })
             }
+            2 => w.handle(Event::Timer { token: rng.below(3) }),
+            3 => w.end(
+                u128::from(9_000 + rng.below(99)),
+                rng.below(9) as u32,
+                MemberId(rng.below(99)),
+                Status::Full,
+            ),
             4..=11 => {
-                let effect = r.below(3) as usize;
-                let group = r.below(4);
-                let valid_until = w.now + r.below(3_000) * MS;
-                cases.insert(step, Case { effect, group, valid_until, ..Case::default() });
-                let object = format!("o{}", r.below(60));
-                let size_kb = (r.below(2) == 0).then(|| 1.0 + r.below(9_000) as f64);
-                let class = if r.below(50) == 0 { 2 + r.below(9) as usize } else { effect };
-                cases.get_mut(&step).unwrap().effect = class.min(2);
+                let kind = rng.below(3) as usize;
+                let group = rng.below(4);
+                let valid_until = w.now + rng.below(3_000) * MS;
+                cases.insert(step, Case { kind, group, valid_until, ..Case::default() });
+                let object = format!("o{}", rng.below(60));
+                let size_kb = (rng.below(2) == 0).then(|| 1.0 + rng.below(9_000) as f64);
+                let class = if rng.below(50) == 0 { 2 + rng.below(9) as usize } else { kind };
+                cases.get_mut(&step).unwrap().kind = class.min(2);
                 let base = request(step, &object, w.now);
-                w.tell(Event::Request(Request { class, group, size_kb, valid_until, ..base }))
+                w.handle(Event::Request(Request { class, group, size_kb, valid_until, ..base }))
             }
             _ => {
                 let open: Vec<u128> =
-                    cases.iter().filter(|(_, c)| !c.out.is_empty()).map(|(k, _)| *k).collect();
+                    cases.iter().filter(|(_, c)| !c.in_flight.is_empty()).map(|(k, _)| *k).collect();
                 if open.is_empty() {
                     continue;
                 }
-                let id = open[r.below(open.len() as u64) as usize];
+                let id = open[rng.below(open.len() as u64) as usize];
                 let case = cases.get_mut(&id).unwrap();
-                let (attempt, member, _) = case.out.remove(r.below(case.out.len() as u64) as usize);
+                let (attempt, member, _) =
+                    case.in_flight.remove(rng.below(case.in_flight.len() as u64) as usize);
                 let status = [
                     Status::Ok,
                     Status::Ok,
@@ -89,16 +94,16 @@
                     Status::Reset,
                     Status::Moot,
                     Status::Miss,
-                ][r.below(9) as usize];
+                ][rng.below(9) as usize];
                 let ran =
                     ![Status::Full, Status::ConnectFailed, Status::Moot, Status::Miss].contains(&status);
                 case.may_have_run |= ran;
                 let closed = status == Status::Ok || case.answers > 0;
                 case.answers += u32::from(status == Status::Ok && case.answers == 0);
                 let note = [None, Some(Note::Hit), Some(Note::SourceRefused), Some(Note::FillsFull)]
-                    [r.below(4) as usize];
+                    [rng.below(4) as usize];
                 let o = Outcome { closed, note, ..outcome(id, attempt, member, status) };
-                w.tell(Event::Outcome(o))
+                w.handle(Event::Outcome(o))
             }
         };
         for action in &out {
@@ -106,23 +111,23 @@
                 Action::Fetch { id, member, source, max_age, until, .. } => {
                     let case = cases.get_mut(&id.0).expect("a known request");
                     assert_eq!(case.answers, 0, "no attempt after the final answer");
-                    assert!(case.out.is_empty(), "one attempt at a time");
+                    assert!(case.in_flight.is_empty(), "one attempt at a time");
                     assert!(until <= case.valid_until && w.now < case.valid_until);
                     assert_eq!(state[&member.0], Lifecycle::Ready);
                     assert!(source == member || state[&source.0] == Lifecycle::Ready);
-                    assert!(case.effect != 2 || !case.may_have_run, "no double execution");
+                    assert!(case.kind != 2 || !case.may_have_run, "no double execution");
                     if let Some(at) = purged.get(&case.group).filter(|at| w.now - **at <= 6 * S) {
                         assert!(max_age.is_some_and(|age| age > 0 && (age == 1 || age < w.now - at)));
                     }
-                    case.out.push((case.sent, member, false));
+                    case.in_flight.push((case.sent, member, false));
                     case.sent += 1;
                     assert!(case.sent <= 6);
                 }
                 Action::Refuse { id, .. } => {
                     let case = cases.get_mut(&id.0).unwrap();
                     case.answers += 1;
-                    assert!(case.out.is_empty());
-                    assert!(case.effect == 0 || !case.may_have_run, "a refusal promises that nothing ran");
+                    assert!(case.in_flight.is_empty());
+                    assert!(case.kind == 0 || !case.may_have_run, "a refusal promises that nothing ran");
                 }
                 Action::Fail { id } => cases.get_mut(&id.0).unwrap().answers += 1,
                 _ => {}
@@ -131,7 +136,10 @@
         all.extend(out);
         for (id, case) in &cases {
             assert!(case.answers <= 1, "{id}: one final answer");
-            assert!(case.answers == 1 || !case.out.is_empty(), "{id}: open without an attempt in flight");
+            assert!(
+                case.answers == 1 || !case.in_flight.is_empty(),
+                "{id}: open without an attempt in flight"
+            );
         }
     }
     all
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -27,7 +27,7 @@
 fn nothing_is_sent_after_the_client_disconnected() {
     let mut w = World::new(settings());
     let s = sent(&w.ask(1, "a"));
-    assert!(w.tell(Event::ClientGone { id: RequestId(1) }).is_empty());
+    assert!(w.handle(Event::ClientGone { id: RequestId(1) }).is_empty());
     let out = w.end(1, 0, s.member, Status::Reset);
     assert!(sends(&out).is_empty() && !refused(&out) && !failed(&out));
 }
@@ -38,7 +38,7 @@
     let mut w = World::new(Settings { cancel: true, ..settings() });
     let s = sent(&w.ask(1, "a"));
     sent(&w.end(1, 0, s.member, Status::Reset));
-    let out = w.tell(Event::ClientGone { id: RequestId(1) });
+    let out = w.handle(Event::ClientGone { id: RequestId(1) });
     assert_eq!(out, [Action::Cancel { id: RequestId(1), attempt: 1 }]);
 }
 
@@ -97,7 +97,7 @@
 fn an_unknown_class_is_treated_as_at_most_once() {
     let mut w = World::new(settings());
     let r = Request { class: usize::MAX, ..request(1, "a", w.now) };
-    let s = sent(&w.tell(Event::Request(r)));
+    let s = sent(&w.handle(Event::Request(r)));
     assert!(failed(&w.end(1, 0, s.member, Status::Timeout)));
 }
 
@@ -105,7 +105,7 @@
 fn a_write_runs_at_the_origin_and_is_not_recorded_in_the_filter() {
     let mut w = World::new(settings());
     let r = Request { write: true, ..request(1, "a", w.now) };
-    let s = sent(&w.tell(Event::Request(r)));
+    let s = sent(&w.handle(Event::Request(r)));
     assert_eq!((s.source, s.keep), (MemberId(20), Keep::Pass));
     w.end(1, 0, s.member, Status::Ok);
     assert_ne!(w.serve(2, "a").keep, Keep::Middle);
@@ -119,7 +119,7 @@
         let mut w = World::new(settings());
         let gone = [member(1, CACHE), member(11, PARENT)];
         let members = gone.into_iter().map(|m| Member { lifecycle, ..m }).collect();
-        w.tell(Event::Members { kind: ListKind::Delta, members });
+        w.handle(Event::Members { kind: ListKind::Delta, members });
         for id in 0..100 {
             let s = w.serve(id, &format!("o{id}"));
             assert!(s.member != MemberId(1) && s.source != MemberId(11));
@@ -131,9 +131,9 @@
 fn a_full_list_removes_absent_members_and_they_can_return() {
     let mut w = World::new(settings());
     let rest: Vec<Member> = fleet().into_iter().filter(|m| m.id.0 != 1).collect();
-    w.tell(Event::Members { kind: ListKind::Full, members: rest });
+    w.handle(Event::Members { kind: ListKind::Full, members: rest });
     assert!((0..50).all(|id| w.serve(id, &format!("o{id}")).member != MemberId(1)));
-    w.tell(Event::Members { kind: ListKind::Delta, members: vec![member(1, CACHE)] });
+    w.handle(Event::Members { kind: ListKind::Delta, members: vec![member(1, CACHE)] });
     assert!((50..100).any(|id| w.serve(id, &format!("o{id}")).member == MemberId(1)));
 }
 
@@ -148,7 +148,7 @@
         .filter(|id| {
             let s = sent(&w.ask(*id, &format!("o{id}")));
             let o = Outcome { note: Some(Note::Filled), ..outcome(*id, 0, s.member, Status::Ok) };
-            w.tell(Event::Outcome(o));
+            w.handle(Event::Outcome(o));
             s.member.0 == cold || s.source.0 == cold
         })
         .count() as f64
@@ -197,7 +197,7 @@
         members.iter_mut().filter(|m| m.id.0 == cold).for_each(|m| m.started = 100 * S - 1);
         let world = |seed| {
             let mut w = World { director: Director::new(u64::from(seed), s.clone()), now: 100 * S };
-            w.tell(Event::Members { kind: ListKind::Full, members: members.clone() });
+            w.handle(Event::Members { kind: ListKind::Full, members: members.clone() });
             w
         };
         let mut worlds: Vec<World> = (0..n).map(world).collect();
@@ -208,7 +208,7 @@
                 let id = step * 60 + k as u128;
                 let s = sent(&w.ask(id, &format!("o{id}")));
                 let o = Outcome { note: Some(Note::Filled), ..outcome(id, 0, s.member, Status::Ok) };
-                w.tell(Event::Outcome(o));
+                w.handle(Event::Outcome(o));
                 if [s.member.0, s.source.0].contains(&cold) {
                     windows[(step / 20) as usize] += 0.1;
                 }
@@ -230,7 +230,7 @@
 #[test]
 fn after_a_purge_the_maximum_age_is_small_and_never_zero() {
     let mut w = World::new(settings());
-    w.tell(Event::Purged { object: Some("a".into()), group: 7, age: 0 });
+    w.handle(Event::Purged { object: Some("a".into()), group: 7, age: 0 });
     let s = w.serve(1, "a");
     assert!(s.max_age.is_some_and(|age| (1..=MS).contains(&age)));
     assert!(!s.mode.join, "a running fill may have started before the purge");
@@ -244,12 +244,12 @@
 #[test]
 fn a_purged_group_covers_its_objects_and_the_later_purge_counts() {
     let mut w = World::new(settings());
-    w.tell(Event::Purged { object: Some("a".into()), group: 7, age: 100 * MS });
-    w.tell(Event::Purged { object: None, group: 7, age: 300 * MS });
+    w.handle(Event::Purged { object: Some("a".into()), group: 7, age: 100 * MS });
+    w.handle(Event::Purged { object: None, group: 7, age: 300 * MS });
     assert!(w.serve(1, "a").max_age.is_some_and(|age| age < 100 * MS));
     assert!(w.serve(2, "b").max_age.is_some_and(|age| age < 300 * MS && age > 100 * MS));
     // An older purge that is reported later doesn't replace the newer one.
-    w.tell(Event::Purged { object: Some("a".into()), group: 7, age: 5 * S });
+    w.handle(Event::Purged { object: Some("a".into()), group: 7, age: 5 * S });
     assert!(w.serve(3, "a").max_age.is_some_and(|age| age < 100 * MS));
 }
 
@@ -258,8 +258,8 @@
 #[test]
 fn a_purge_of_every_group_covers_all_objects() {
     let mut w = World::new(settings());
-    w.tell(Event::Purged { object: None, group: ALL_GROUPS, age: 3 * S });
-    w.tell(Event::Purged { object: Some("a".into()), group: 7, age: 100 * MS });
+    w.handle(Event::Purged { object: None, group: ALL_GROUPS, age: 3 * S });
+    w.handle(Event::Purged { object: Some("a".into()), group: 7, age: 100 * MS });
     assert!(w.serve(1, "a").max_age.is_some_and(|age| age < 100 * MS));
     assert!(w.serve(2, "b").max_age.is_some_and(|age| age < 3 * S && age > 2 * S));
     w.now += 10 * S;
@@ -269,7 +269,7 @@
 #[test]
 fn the_fresh_time_limits_the_maximum_age_after_a_purge() {
     let mut w = World::new(Settings { classes: vec![Class { fresh_for: S, ..class() }], ..settings() });
-    w.tell(Event::Purged { object: None, group: 7, age: 4 * S });
+    w.handle(Event::Purged { object: None, group: 7, age: 4 * S });
     assert_eq!(w.serve(1, "a").max_age, Some(S));
 }
 
@@ -297,11 +297,11 @@
 /// against no member. An error counts if another cache answers the request successfully.
 #[test]
 fn an_error_counts_only_where_another_member_answers_well() {
-    let answer = |w: &mut World, id: u128, sick: Option<MemberId>| {
+    let answer = |w: &mut World, id: u128, faulty: Option<MemberId>| {
         let mut s = sent(&w.ask(id, &format!("o{id}")));
         let mut set_aside = false;
         for n in 0..3 {
-            let errs = sick.is_none_or(|sick| sick == s.member);
+            let errs = faulty.is_none_or(|faulty| faulty == s.member);
             let out = w.end(id, n, s.member, if errs { Status::Error } else { Status::Ok });
             set_aside |= out.iter().any(|a| matches!(a, Action::Log(_)));
             match sends(&out)[..] {
@@ -331,7 +331,7 @@
         for s in sends(&w.ask(id, &format!("o{id}"))) {
             origin += u32::from(s.source == MemberId(20));
             let note = Some(Note::SourceRefused);
-            w.tell(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Full) }));
+            w.handle(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Full) }));
         }
     }
     assert_eq!(origin, 0);
@@ -357,7 +357,7 @@
             w.now += 100 * MS;
             let elapsed = if late { 2 * S } else { 100 * MS };
             if let [s] = sends(&w.ask(id, &format!("o{id}")))[..] {
-                w.tell(Event::Outcome(Outcome { elapsed, ..outcome(id, 0, s.member, Status::Ok) }));
+                w.handle(Event::Outcome(Outcome { elapsed, ..outcome(id, 0, s.member, Status::Ok) }));
             }
         }
         (1_000..1_100).filter(|id| !sends(&w.ask(*id, &format!("o{id}"))).is_empty()).count()
@@ -376,7 +376,7 @@
         for s in sends(&w.ask(id, &format!("o{id}"))) {
             let note = Some(Note::Filled);
             let o = Outcome { elapsed: 2 * S, note, ..outcome(id, 0, s.member, Status::Ok) };
-            w.tell(Event::Outcome(o));
+            w.handle(Event::Outcome(o));
         }
     }
     let (mut fills, mut looks) = (0, Vec::new());
@@ -392,7 +392,7 @@
     assert!(refused(&w.end(id, 0, s.member, Status::Miss)), "no room for its fill");
     let (id, s) = looks[2];
     let o = Outcome { note: Some(Note::Joined), ..outcome(id, 0, s.member, Status::Miss) };
-    assert!(sent(&w.tell(Event::Outcome(o))).mode.join, "the running fill is joined");
+    assert!(sent(&w.handle(Event::Outcome(o))).mode.join, "the running fill is joined");
 }
 
 /// With a slow origin, parents must still serve fills from the copies they hold (scenario mindanao rough-1).
@@ -405,7 +405,7 @@
             let note = Some(Note::FilledByOrigin);
             let late = Outcome { elapsed: 2 * S, note, ..outcome(id, 0, s.member, Status::Ok) };
             let miss = outcome(id, 0, s.member, Status::Miss);
-            w.tell(Event::Outcome(if s.mode.held_only { miss } else { late }));
+            w.handle(Event::Outcome(if s.mode.held_only { miss } else { late }));
         }
     }
     let all: Vec<(u128, Sent)> = (1_000..1_010).map(|id| (id, sent(&w.ask(id, &format!("n{id}"))))).collect();
@@ -429,20 +429,20 @@
 fn discovery_on_request_subscribes_and_retries_after_a_failure() {
     let settings = Settings { discovery: Discovery::OnRequest, ..settings() };
     let mut w = World { director: Director::new(1, settings), now: S };
-    let out = w.tell(Event::Members { kind: ListKind::Cached, members: fleet() });
+    let out = w.handle(Event::Members { kind: ListKind::Cached, members: fleet() });
     assert_eq!(out, [Action::Watch]);
-    let out = w.tell(Event::Members { kind: ListKind::Failed, members: Vec::new() });
+    let out = w.handle(Event::Members { kind: ListKind::Failed, members: Vec::new() });
     let [Action::Timer { token, .. }] = out[..] else { panic!("{out:?}") };
-    assert_eq!(w.tell(Event::Timer { token }), [Action::Watch]);
+    assert_eq!(w.handle(Event::Timer { token }), [Action::Watch]);
 }
 
 #[test]
 fn after_a_stream_has_begun_nothing_more_is_decided() {
     let mut w = World::new(settings());
     let s = sent(&w.ask(1, "a"));
-    assert!(w.tell(Event::Streaming { id: RequestId(1), attempt: 0 }).is_empty());
+    assert!(w.handle(Event::Streaming { id: RequestId(1), attempt: 0 }).is_empty());
     let o = Outcome { closed: true, ..outcome(1, 0, s.member, Status::Reset) };
-    let out = w.tell(Event::Outcome(o));
+    let out = w.handle(Event::Outcome(o));
     assert!(sends(&out).is_empty() && !refused(&out) && !failed(&out));
 }
 
@@ -464,7 +464,7 @@
     };
     let (delay, token) = timer(&out).expect("a timer watches the attempt");
     w.now += delay;
-    let copy = sent(&w.tell(Event::Timer { token }));
+    let copy = sent(&w.handle(Event::Timer { token }));
     assert_eq!((copy.member, copy.source), (first.member, first.member), "lookup at the same cache");
     let out = w.end(100, 1, copy.member, Status::Ok);
     assert!(matches!(out[..], [Action::Cancel { attempt: 0, .. }]), "{out:?}");
@@ -478,7 +478,7 @@
     assert!(refused(&w.ask(200, "b")), "the limit is used up");
     w.now += tokens[0].0;
     for (_, token) in tokens {
-        assert!(sends(&w.tell(Event::Timer { token })).is_empty());
+        assert!(sends(&w.handle(Event::Timer { token })).is_empty());
     }
     assert_eq!(sends(&w.ask(201, "b")).len(), 1);
 }
@@ -502,10 +502,10 @@
         for id in 0..100 {
             let s = sent(&w.ask(id, &format!("o{id}")));
             let status = if s.member == MemberId(1) { Status::Timeout } else { Status::Ok };
-            let out = w.tell(Event::Outcome(Outcome { elapsed, ..outcome(id, 0, s.member, status) }));
+            let out = w.handle(Event::Outcome(Outcome { elapsed, ..outcome(id, 0, s.member, status) }));
             logged |= out.iter().any(|a| matches!(a, Action::Log(_)));
             if status == Status::Timeout {
-                w.tell(Event::ClientGone { id: RequestId(id) });
+                w.handle(Event::ClientGone { id: RequestId(id) });
             }
         }
         assert_eq!(logged, aside, "{elapsed}");
@@ -525,13 +525,13 @@
                 elapsed: if jam { 2 * S } else { 100 * MS },
                 ..outcome(id, 0, s.member, Status::Ok)
             };
-            w.tell(Event::Outcome(Outcome { note: Some(Note::Filled), ..o }));
+            w.handle(Event::Outcome(Outcome { note: Some(Note::Filled), ..o }));
         }
         for id in 100..200 {
             let Some(s) = sends(&w.ask(id, &format!("o{id}"))).first().copied() else { continue };
             w.now += 400 * MS;
-            w.tell(Event::Outcome(Outcome { elapsed, ..outcome(id, 0, s.member, Status::Timeout) }));
-            w.tell(Event::ClientGone { id: RequestId(id) });
+            w.handle(Event::Outcome(Outcome { elapsed, ..outcome(id, 0, s.member, Status::Timeout) }));
+            w.handle(Event::ClientGone { id: RequestId(id) });
         }
         let open = (1000..1030).flat_map(|id| sends(&w.ask(id, &format!("o{id}"))));
         open.filter(|s| s.source != s.member && !s.mode.held_only).count()
@@ -551,7 +551,7 @@
                 w.now += 20 * MS;
                 let s = sent(&w.ask(*id, &format!("o{}", id % 40)));
                 let elapsed = if s.member.0 <= slow { 2 * S } else { 100 * MS };
-                w.tell(Event::Outcome(Outcome { elapsed, ..outcome(*id, 0, s.member, Status::Ok) }));
+                w.handle(Event::Outcome(Outcome { elapsed, ..outcome(*id, 0, s.member, Status::Ok) }));
                 s.member.0 <= slow
             })
             .count()
@@ -574,13 +574,13 @@
             for action in &out {
                 if let Action::Timer { delay, token } = *action {
                     w.now += delay;
-                    w.tell(Event::Timer { token });
+                    w.handle(Event::Timer { token });
                 }
             }
             w.end(id, 0, s.member, Status::Cancelled);
         } else {
             let note = Some(Note::Filled);
-            w.tell(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Ok) }));
+            w.handle(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Ok) }));
         }
     }
     assert!(hung < 30, "{hung}");
@@ -596,7 +596,7 @@
         if let [s] = sends(&w.ask(id, &format!("o{id}")))[..] {
             sent += u32::from(id >= 300);
             let o = Outcome { elapsed: 2 * S, ..outcome(id, 0, s.member, Status::Ok) };
-            w.tell(Event::Outcome(o));
+            w.handle(Event::Outcome(o));
         }
     }
     assert!((10..100).contains(&sent), "{sent}");
@@ -612,7 +612,7 @@
         for id in 0..200 {
             w.now += 400 * MS;
             let [s] = sends(&w.ask(id, &format!("o{id}")))[..] else { return id };
-            w.tell(Event::Outcome(Outcome { elapsed: 2 * S, ..outcome(id, 0, s.member, Status::Ok) }));
+            w.handle(Event::Outcome(Outcome { elapsed: 2 * S, ..outcome(id, 0, s.member, Status::Ok) }));
         }
         200
     };
@@ -629,14 +629,14 @@
     let (hung, well): (Vec<_>, Vec<_>) = all.into_iter().partition(|(_, s)| s.source == MemberId(11));
     for (id, s) in well {
         let note = Some(Note::Filled);
-        w.tell(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Ok) }));
+        w.handle(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Ok) }));
     }
     assert!(hung.len() > 8);
     for (id, s) in hung {
         w.now += 310 * MS;
         let o = Outcome { elapsed: 2_900 * MS, closed: true, ..outcome(id, 0, s.member, Status::Reset) };
         let note = Some(Note::SourceUnreachable);
-        w.tell(Event::Outcome(Outcome { status: Status::Timeout, note, ..o }));
+        w.handle(Event::Outcome(Outcome { status: Status::Timeout, note, ..o }));
     }
     let filled =
         (100..110).filter(|id| sends(&w.ask(*id, &format!("n{id}"))).iter().any(|s| !s.mode.held_only));
@@ -652,7 +652,7 @@
     for id in 0..3 {
         w.ask(id, &format!("o{id}"));
         w.end(id, 0, MemberId(1), Status::ConnectFailed);
-        w.tell(Event::ClientGone { id: RequestId(id) });
+        w.handle(Event::ClientGone { id: RequestId(id) });
     }
     w.now += 5 * MS;
     let sent = (10..100).filter(|id| {
@@ -679,15 +679,15 @@
         let lifecycle = Lifecycle::Gone;
         let gone = Member { lifecycle, ..member(1_000 + round, CACHE) };
         let fresh = Member { started: w.now, ..member(1_001 + round, CACHE) };
-        w.tell(Event::Members { kind: ListKind::Delta, members: vec![gone, fresh] });
-        w.tell(Event::Purged { object: Some(format!("p{round}")), group: 7, age: 0 });
+        w.handle(Event::Members { kind: ListKind::Delta, members: vec![gone, fresh] });
+        w.handle(Event::Purged { object: Some(format!("p{round}")), group: 7, age: 0 });
         let out = w.ask(u128::from(round), &format!("o{}", round % 20));
         for s in sends(&out) {
             w.end(round.into(), 0, s.member, Status::Ok);
         }
         for action in out {
             if let Action::Timer { token, .. } = action {
-                w.tell(Event::Timer { token });
+                w.handle(Event::Timer { token });
             }
         }
         sizes.push(format!("{:?}", w.director).len());
@@ -705,7 +705,7 @@
     let settings = || Settings { classes: vec![class.clone()], ..settings() };
     let ask = |w: &mut World, id: u128, own: OwnCopy, write: bool| {
         let request = Request { own_copy: Some(own), write, ..request(id, "a", w.now) };
-        w.tell(Event::Request(request))
+        w.handle(Event::Request(request))
     };
     let served = |out: &[Action]| matches!(out[..], [Action::Own { .. }]);
     let good = OwnCopy { age: S, since_cache_hit: 6 * S, delivery_time: 200 * MS };
@@ -715,7 +715,7 @@
     assert!(!served(&ask(&mut w, 3, OwnCopy { age: 6 * S, ..good }, false)));
     assert!(!served(&ask(&mut w, 4, OwnCopy { delivery_time: 2 * S, ..good }, false)));
     assert!(!served(&ask(&mut w, 5, OwnCopy { since_cache_hit: 0, ..good }, false)), "the caches have it");
-    w.tell(Event::Purged { object: Some("a".to_owned()), group: 0, age: S / 2 });
+    w.handle(Event::Purged { object: Some("a".to_owned()), group: 0, age: S / 2 });
     assert!(!served(&ask(&mut w, 6, good, false)));
     let mut nobody = World::with(settings(), Vec::new());
     assert!(served(&ask(&mut nobody, 1, OwnCopy { age: 20 * S, ..good }, false)));
@@ -738,7 +738,7 @@
         for (id, s) in out {
             let filled = if id % 2 == 0 { Note::Filled } else { Note::FilledByOrigin };
             let note = if s.source == s.member { Note::Hit } else { filled };
-            w.tell(Event::Outcome(Outcome { note: Some(note), ..outcome(id, 0, s.member, Status::Ok) }));
+            w.handle(Event::Outcome(Outcome { note: Some(note), ..outcome(id, 0, s.member, Status::Ok) }));
         }
     }
     // Sixty is the share of one of two directors in the initial limit.
@@ -761,7 +761,7 @@
             let note = Some(if s.source == s.member { Note::Hit } else { Note::Filled });
             let late = round < 5 && s.source != s.member;
             let elapsed = if late { 2 * S } else { 100 * MS };
-            w.tell(Event::Outcome(Outcome { elapsed, note, ..outcome(id, 0, s.member, Status::Ok) }));
+            w.handle(Event::Outcome(Outcome { elapsed, note, ..outcome(id, 0, s.member, Status::Ok) }));
         }
     }
     assert!(fills[5] <= 12 && fills[19] >= 25, "{fills:?}");
@@ -778,7 +778,7 @@
         for s in sends(&w.ask(id, &format!("o{id}"))) {
             let elapsed = if s.source == MemberId(11) { 2 * S } else { 100 * MS };
             let note = Some(if s.source == s.member { Note::Hit } else { Note::Filled });
-            w.tell(Event::Outcome(Outcome { elapsed, note, ..outcome(id, 0, s.member, Status::Ok) }));
+            w.handle(Event::Outcome(Outcome { elapsed, note, ..outcome(id, 0, s.member, Status::Ok) }));
             sources.extend((id >= 200).then_some(s.source.0));
         }
     }
@@ -799,10 +799,14 @@
                 let (note, elapsed) = (Some(Note::FilledByOrigin), if late { 2 * S } else { 100 * MS });
                 let filled = Outcome { elapsed, note, ..outcome(id, 0, s.member, Status::Ok) };
                 let miss = outcome(id, 0, s.member, Status::Miss);
-                w.tell(Event::Outcome(if s.source == s.member || s.mode.held_only { miss } else { filled }));
+                w.handle(Event::Outcome(if s.source == s.member || s.mode.held_only {
+                    miss
+                } else {
+                    filled
+                }));
             }
         }
-        w.tell(Event::Purged { object: Some("purged".to_owned()), group: 9, age: 2 * S });
+        w.handle(Event::Purged { object: Some("purged".to_owned()), group: 9, age: 2 * S });
         (sent(&w.ask(1_000, "n")), sent(&w.ask(1_001, "purged")))
     };
     let (calm, purged) = asked(false);
@@ -822,7 +826,7 @@
         w.now += 50 * MS;
         for s in sends(&w.ask(id, &format!("o{id}"))) {
             let o = Outcome { elapsed: 300 * MS, ..outcome(id, 0, s.member, Status::Ok) };
-            w.tell(Event::Outcome(Outcome { note: Some(Note::FilledByOrigin), ..o }));
+            w.handle(Event::Outcome(Outcome { note: Some(Note::FilledByOrigin), ..o }));
         }
     }
     let fills = (1_000..1_020).filter(|id| {
@@ -845,20 +849,20 @@
         for s in sends(&out) {
             let note = Some(Note::Filled);
             if id % 3 > 0 {
-                w.tell(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Ok) }));
+                w.handle(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Ok) }));
                 continue;
             }
             let watch = out.iter().find_map(|a| match a {
                 Action::Timer { token, .. } => Some(*token),
                 _ => None,
             });
-            let again = w.tell(Event::Timer { token: watch.expect("an attempt is watched") });
+            let again = w.handle(Event::Timer { token: watch.expect("an attempt is watched") });
             copies += sends(&again).len();
             for s in sends(&again) {
-                w.tell(Event::Outcome(Outcome { note, ..outcome(id, 1, s.member, Status::Ok) }));
+                w.handle(Event::Outcome(Outcome { note, ..outcome(id, 1, s.member, Status::Ok) }));
             }
             let lost = Outcome { elapsed: 2_900 * MS, ..outcome(id, 0, s.member, Status::Timeout) };
-            w.tell(Event::Outcome(Outcome { closed: true, ..lost }));
+            w.handle(Event::Outcome(Outcome { closed: true, ..lost }));
         }
     }
     assert!(copies > 120 && refusals == 0, "{copies} {refusals}");
@@ -872,7 +876,7 @@
     for id in 0..400 {
         let s = sent(&w.ask(id, "a"));
         let elapsed = if id % 2 == 0 { 100 * MS } else { 300 * MS };
-        w.tell(Event::Outcome(Outcome { elapsed, ..outcome(id, 0, s.member, Status::Ok) }));
+        w.handle(Event::Outcome(Outcome { elapsed, ..outcome(id, 0, s.member, Status::Ok) }));
     }
     let delay = w.ask(1_000, "a").iter().find_map(|a| match a {
         Action::Timer { delay, .. } => Some(*delay),
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -12,11 +12,11 @@
 const FLOW_KB: f64 = 5_000.0;
 /// Mean sizes in KB, above the minimum, of a class of large objects and one of small ones. The minimum of both takes a
 /// hundredth of a second to send.
-const MEANS: [f64; 2] = [2_000.0, 300.0];
+const MEAN_KB: [f64; 2] = [2_000.0, 300.0];
 
-struct Draw(u64);
+struct Rng(u64);
 
-impl Draw {
+impl Rng {
     fn unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
@@ -25,8 +25,11 @@
 
 /// Replaces the pending outcome of an attempt by a cancellation that is due now.
 fn cancel(due: &mut BTreeMap<(Micros, u64), Event>, now: Micros, id: RequestId, attempt: u32) {
-    let is_its = |event: &Event| matches!(event, Event::Outcome(o) if o.id == id && o.attempt == attempt);
-    let Some((at, order)) = due.iter().find(|(_, event)| is_its(event)).map(|(key, _)| *key) else { return };
+    let matches_attempt =
+        |event: &Event| matches!(event, Event::Outcome(o) if o.id == id && o.attempt == attempt);
+    let Some((at, order)) = due.iter().find(|(_, event)| matches_attempt(event)).map(|(key, _)| *key) else {
+        return;
+    };
     let Some(Event::Outcome(end)) = due.remove(&(at, order)) else { return };
     let (elapsed, status) = (end.elapsed - (at - now), Status::Cancelled);
     let end = Outcome { elapsed, status, note: None, closed: false, ..end };
@@ -35,7 +38,7 @@
 
 /// Runs a simulation and returns by class the size of each request and whether it was answered. A load of 1 is the full
 /// capacity of the four caches' links; with `trouble` the origin is slow for a while and a cache restarts cold.
-fn play(load: f64, trouble: bool, seed: u64) -> [Vec<(f64, bool)>; 2] {
+fn simulate(load: f64, trouble: bool, seed: u64) -> [Vec<(f64, bool)>; 2] {
     let classes = vec![class(), Class { deadline: 3 * S, aim: 300 * MS, ..class() }];
     let base = Settings {
         directors: 1,
@@ -46,11 +49,11 @@
         ..settings()
     };
     let mut world = World::new(base);
-    let mut draw = Draw(seed);
+    let mut rng = Rng(seed);
     // End times of the transfers running on each link.
     let mut links: BTreeMap<u64, Vec<Micros>> = BTreeMap::new();
     let mut due: BTreeMap<(Micros, u64), Event> = BTreeMap::new();
-    let (mut served, mut asked) = (BTreeMap::new(), Vec::<(u128, usize, f64)>::new());
+    let (mut served, mut requested) = (BTreeMap::new(), Vec::<(u128, usize, f64)>::new());
     let mut attempts: BTreeMap<u128, u32> = BTreeMap::new();
     let (mut next, mut order) = (0u128, 0u64);
     let end = world.now + 40 * S;
@@ -72,15 +75,15 @@
             });
         }
         while arrival < now && now < end {
-            let class = usize::from(draw.unit() < 0.5);
+            let class = usize::from(rng.unit() < 0.5);
             // 40 parallel transfers in total; a request takes its size divided by the rate of a transfer.
-            let mean = (MEANS[0] + MEANS[1]) / 2.0 / FLOW_KB;
-            arrival += (-draw.unit().max(1e-9).ln() * mean / (40.0 * load) * 1e6) as Micros + 1;
+            let mean = (MEAN_KB[0] + MEAN_KB[1]) / 2.0 / FLOW_KB;
+            arrival += (-rng.unit().max(1e-9).ln() * mean / (40.0 * load) * 1e6) as Micros + 1;
             next += 1;
-            let kb = 50.0 - MEANS[class] * draw.unit().max(1e-9).ln();
-            asked.push((next, class, kb));
+            let kb = 50.0 - MEAN_KB[class] * rng.unit().max(1e-9).ln();
+            requested.push((next, class, kb));
             let wait = [5, 3][class] * S;
-            let object = format!("o{}", (draw.unit() * draw.unit() * 3_000.0) as u64);
+            let object = format!("o{}", (rng.unit() * rng.unit() * 3_000.0) as u64);
             events.push(Event::Request(Request {
                 class,
                 size_kb: Some(kb),
@@ -95,29 +98,30 @@
             {
                 continue;
             }
-            for action in world.tell(event) {
+            for action in world.handle(event) {
                 order += 1;
                 match action {
                     Action::Fetch { id, member, source, until, .. } => {
                         let number = attempts.entry(id.0).or_default();
-                        let kb = asked[id.0 as usize - 1].2;
+                        let kb = requested[id.0 as usize - 1].2;
                         let mut all = vec![member.0];
                         // A third of the attempts miss and are filled; a slow origin takes two seconds longer.
-                        let fill = source != member && draw.unit() < 0.33;
+                        let fill = source != member && rng.unit() < 0.33;
                         if fill {
                             all.push(source.0);
                         }
-                        let mut took = (kb / FLOW_KB * 1e6) as Micros;
+                        let mut duration = (kb / FLOW_KB * 1e6) as Micros;
                         for link in all {
                             let busy = links.entry(link).or_default();
                             busy.retain(|at| *at > now);
                             // Above ten transfers at a time a link is shared.
-                            took = took.max((took as f64 * (busy.len() as f64 + 1.0) / 10.0) as Micros);
-                            busy.push(now + took);
+                            duration =
+                                duration.max((duration as f64 * (busy.len() as f64 + 1.0) / 10.0) as Micros);
+                            busy.push(now + duration);
                         }
-                        took += if fill && slow { 2 * S } else { 10 * MS };
-                        let (at, status) = if now + took < until {
-                            (now + took, Status::Ok)
+                        duration += if fill && slow { 2 * S } else { 10 * MS };
+                        let (at, status) = if now + duration < until {
+                            (now + duration, Status::Ok)
                         } else {
                             (until, Status::Timeout)
                         };
@@ -141,7 +145,7 @@
         }
     }
     let mut out = [Vec::new(), Vec::new()];
-    for (id, class, kb) in asked {
+    for (id, class, kb) in requested {
         out[class].push((kb, served.contains_key(&id)));
     }
     out
@@ -154,37 +158,37 @@
 /// Minimum share of all requests that must be answered. At 1.2 times the capacity of the links, a policy that knows
 /// sizes and links and admits whatever finds a free place answers 0.73 to 0.78 of all requests, and as many of the
 /// largest.
-const LEAST_OF_ALL: f64 = 0.5;
+const MIN_ANSWERED_SHARE: f64 = 0.5;
 
 /// Checks that of the largest tenth of each class, and of the next fifth, at least this part of the class's answered
 /// share is answered. In classes of fewer than 400 requests these are the largest quarter and the next half.
-fn hold(load: f64, trouble: bool, least: f64) {
+fn check_shares(load: f64, trouble: bool, min_part: f64) {
     for seed in 1..=12 {
-        for (class, mut requests) in play(load, trouble, seed).into_iter().enumerate() {
+        for (class, mut requests) in simulate(load, trouble, seed).into_iter().enumerate() {
             requests.sort_by(|a, b| b.0.total_cmp(&a.0));
             let tenth = requests.len() / if requests.len() < 400 { 4 } else { 10 };
             let (all, largest, next) =
                 (share(&requests), share(&requests[..tenth]), share(&requests[tenth..3 * tenth]));
-            let told = format!(
+            let summary = format!(
                 "load {load} class {class} seed {seed}: {all:.2} of {}, {largest:.2}, {next:.2}",
                 requests.len()
             );
-            println!("{told}");
-            assert!(all > LEAST_OF_ALL, "{told}");
-            assert!(largest >= least * all && next >= least * all, "{told}");
+            println!("{summary}");
+            assert!(all > MIN_ANSWERED_SHARE, "{summary}");
+            assert!(largest >= min_part * all && next >= min_part * all, "{summary}");
         }
     }
 }
 
 #[test]
 fn the_largest_requests_get_their_share_of_answers() {
-    hold(0.4, false, 2.0 / 3.0);
-    hold(0.7, true, 0.5);
-    hold(0.95, true, 0.5);
+    check_shares(0.4, false, 2.0 / 3.0);
+    check_shares(0.7, true, 0.5);
+    check_shares(0.95, true, 0.5);
 }
 
 /// The load exceeds the capacity of the links.
 #[test]
 fn the_largest_requests_get_their_share_under_overload() {
-    hold(1.2, true, 0.5);
+    check_shares(1.2, true, 0.5);
 }
