--- a/src/choice.rs
+++ b/src/choice.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::hashing::{hash, mix, unit};
+use crate::hashing::{hash, mix, unit_interval};
 use crate::interface::*;
 
 mod report;
@@ -399,7 +399,7 @@
             if peer.entry.started != entry.started {
                 // A new process: observations of the previous one don't apply to it.
                 let recent_sends = std::mem::take(&mut peer.recent_sends);
-                let turn_offset = unit(seed ^ entry.id.0);
+                let turn_offset = unit_interval(seed ^ entry.id.0);
                 *peer = Peer {
                     in_flight: peer.in_flight,
                     fills: peer.fills,
@@ -459,7 +459,7 @@
     fn candidates(&self, now: Micros, key: u64, tier: usize) -> Vec<Candidate<'_>> {
         let peers = self.ready[tier].iter().filter_map(|id| self.peers.get(id));
         let candidates = peers.map(|peer| {
-            let random = unit(key ^ mix(peer.entry.id.0 + 1));
+            let random = unit_interval(key ^ mix(peer.entry.id.0 + 1));
             let share = self.weight(&peer.entry) * self.capacity_share(now, &peer.entry);
             let rank = (-(random.max(1e-12).ln()) / share).to_bits();
             Candidate { rank: (rank, peer.entry.id), share, peer }
--- a/src/hashing.rs
+++ b/src/hashing.rs
@@ -8,7 +8,7 @@
 }
 
 /// Maps a number to a pseudo-random value in the range 0 (inclusive) to 1 (exclusive).
-pub fn unit(x: u64) -> f64 {
+pub fn unit_interval(x: u64) -> f64 {
     (mix(x) >> 11) as f64 / (1u64 << 53) as f64
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -30,9 +30,9 @@
     /// Reads the settings leniently: a value of the wrong type counts as absent.
     pub fn parse(options: &Object) -> Self {
         let entries = options.get("classes").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
-        let classes = entries.iter().map(|c| Part(c.as_object()).text("name").to_owned()).collect();
-        let (zones, kinds) = (names(options, "failure_domains"), names(options, "kinds"));
-        let limits = Part::of(options, "limits");
+        let classes = entries.iter().map(|c| Section(c.as_object()).text("name").to_owned()).collect();
+        let (zones, kinds) = (name_list(options, "failure_domains"), name_list(options, "kinds"));
+        let limits = Section::of(options, "limits");
         Self {
             settings: settings(options, &zones),
             classes,
@@ -40,7 +40,7 @@
             kinds,
             streams_per_conn: limits.number("streams_per_conn") as usize,
             idle_close: limits.micros("idle_close_ms"),
-            handshake_cost: Part::of(options, "deductions").number("handshake"),
+            handshake_cost: Section::of(options, "deductions").number("handshake"),
         }
     }
 }
@@ -50,7 +50,7 @@
     v.as_f64().map(|ms| (ms * 1000.0).round().max(0.0) as Micros)
 }
 
-fn names(options: &Object, field: &str) -> Vec<String> {
+fn name_list(options: &Object, field: &str) -> Vec<String> {
     let list = options.get(field).and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
     list.iter().map(|v| v.as_str().unwrap_or_default().to_owned()).collect()
 }
@@ -61,11 +61,11 @@
 }
 
 /// A JSON object of the settings, read leniently: a value of the wrong type counts as absent.
-struct Part<'a>(Option<&'a Object>);
+struct Section<'a>(Option<&'a Object>);
 
-impl<'a> Part<'a> {
+impl<'a> Section<'a> {
     fn of(parent: &'a Object, name: &str) -> Self {
-        Part(parent.get(name).and_then(Value::as_object))
+        Section(parent.get(name).and_then(Value::as_object))
     }
     fn get(&self, name: &str) -> Option<&'a Value> {
         self.0.and_then(|m| m.get(name))
@@ -92,9 +92,9 @@
 }
 
 fn settings(options: &Object, zones: &[String]) -> Settings {
-    let top = Part(Some(options));
+    let top = Section(Some(options));
     let (info, limits, rules) =
-        (Part::of(options, "family_info"), Part::of(options, "limits"), Part::of(options, "rules"));
+        (Section::of(options, "family_info"), Section::of(options, "limits"), Section::of(options, "rules"));
     let by_class = |name: &str| {
         let list = info.list(name);
         move |i: usize| list.get(i).copied().unwrap_or(0.0)
@@ -104,7 +104,7 @@
         (by_class("class_stale_worth"), by_class("segmented"), by_class("class_write"));
     let entries = options.get("classes").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
     let classes = entries.iter().enumerate().map(|(i, v)| {
-        let c = Part(v.as_object());
+        let c = Section(v.as_object());
         Class {
             aim: c.micros("slo_ms"),
             aim_stretch: c.number("aim_stretch"),
