--- a/lab/src/data_path/host.rs
+++ b/lab/src/data_path/host.rs
@@ -5,7 +5,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use bitternhold::{
-    Action, Class, Director, Event, ListKind, Member, MemberId, Micros, Note, Notes, Outcome, Request,
+    Action, Class, Director, Event, ListKind, Member, MemberId, Micros, Note, Detail, Outcome, Request,
     RequestId, Settings, Status, Weights,
 };
 use rustix::time::{ClockId, clock_gettime};
@@ -54,7 +54,7 @@
         origin_kind: Some(ORIGIN),
         flow_kb_per_s: 5_000.0,
         join_fills: true,
-        notes: Notes::All,
+        detail: Detail::All,
         weights: Weights::Nominal,
         second_copies: true,
         cancel: true,
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -217,7 +217,7 @@
     /// Limit of attempts in flight during the probation after a quarantine; `None`: trusted.
     probation: Option<u32>,
     concurrency: ConcurrencyLimit,
-    /// Time and work of recent sends, for its budget while it is cold.
+    /// Time of each recent send and its sending time in seconds, for its budget while it is cold.
     recent_sends: VecDeque<(Micros, f64)>,
     /// Offset of this director's turns at the member while it is cold, in turns, 0 to 1.
     turn_offset: f64,
@@ -547,7 +547,7 @@
         late: bool,
         out: &mut Vec<Action>,
     ) {
-        let (member, all_notes) = (attempt.member, self.settings.notes == Notes::All);
+        let (member, all_notes) = (attempt.member, self.settings.detail == Detail::All);
         let via = attempt.source.unwrap_or(member);
         match (o.status, o.note) {
             (Status::Ok, Some(Note::Hit | Note::Stale)) if late => self.record_fault(now, member, FAULT, out),
@@ -780,8 +780,8 @@
             return;
         }
         let represented = self.represented_directors();
-        match self.settings.notes {
-            Notes::All => {
+        match self.settings.detail {
+            Detail::All => {
                 self.origin_limit.record(now, self.origin_fills, true, CONGESTED_LATE_RATE, represented)
             }
             _ => self.fill_limit.record(now, self.fills, true, CONGESTED_LATE_RATE, represented),
@@ -919,7 +919,7 @@
         let represented = self.represented_directors();
         let threshold =
             if open.request.size_kb.is_some() { CONGESTED_LATE_RATE } else { CONGESTED_LATE_RATE_UNSIZED };
-        let all_notes = self.settings.notes == Notes::All;
+        let all_notes = self.settings.detail == Detail::All;
         let hit = matches!(o.note, Some(Note::Hit | Note::Stale));
         // Where the source may be the cause, an outcome says nothing about the cache.
         let about_cache = hit || ((all_notes || attempt.source.is_none()) && o.note.is_none());
@@ -1007,12 +1007,12 @@
         if o.status == Status::Ok {
             let erred = std::mem::take(&mut open.erred);
             erred.into_iter().filter(|m| *m != o.member).for_each(|m| self.record_fault(now, m, FAULT, out));
-        } else if o.status == Status::Error && o.note.is_none() && self.settings.notes == Notes::All {
+        } else if o.status == Status::Error && o.note.is_none() && self.settings.detail == Detail::All {
             open.erred.push(o.member);
         }
         // Without notes a refusal or an error counts against the source first, then against the cache.
         let unexplained =
-            self.settings.notes != Notes::All && matches!(o.status, Status::Full | Status::Error);
+            self.settings.detail != Detail::All && matches!(o.status, Status::Full | Status::Error);
         let again = open.attempts.iter().filter(|a| a.member == o.member).count() > 1;
         let source_fault =
             matches!(o.note, Some(Note::SourceRefused | Note::SourceUnreachable | Note::OriginFailed));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -96,7 +96,7 @@
 
 /// Which notes outcomes carry about how an answer was produced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Notes {
+pub enum Detail {
     /// All notes.
     All,
     /// Only whether the answer was a hit.
@@ -150,7 +150,7 @@
     /// Which other caches may be sources of fills.
     pub siblings: Siblings,
     /// Which notes outcomes carry.
-    pub notes: Notes,
+    pub detail: Detail,
     /// Meaning of the listed weights.
     pub weights: Weights,
     /// Two attempts of one request may be in flight at the same time.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -148,10 +148,10 @@
             "any" => Siblings::Any,
             _ => Siblings::None,
         },
-        notes: match info.text("detail") {
-            "all" => Notes::All,
-            "hit" => Notes::Hit,
-            _ => Notes::Nothing,
+        detail: match info.text("detail") {
+            "all" => Detail::All,
+            "hit" => Detail::Hit,
+            _ => Detail::Nothing,
         },
         weights: match top.text("weights") {
             "nominal" => Weights::Nominal,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -34,7 +34,7 @@
         origin_kind: Some(ORIGIN),
         flow_kb_per_s: 5_000.0,
         join_fills: true,
-        notes: Notes::All,
+        detail: Detail::All,
         weights: Weights::Nominal,
         max_attempts: 6,
         max_retry_after: S,
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -52,7 +52,7 @@
         directors,
         zone_directors: vec![0, directors],
         classes,
-        notes: [Notes::All, Notes::Hit, Notes::Nothing][(seed as usize / 3) % 3],
+        detail: [Detail::All, Detail::Hit, Detail::Nothing][(seed as usize / 3) % 3],
         weights: [Weights::Nominal, Weights::Rough, Weights::Unknown, Weights::Live][seed as usize % 4],
         second_copies: !seed.is_multiple_of(5),
         cancel: true,
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -387,7 +387,7 @@
         if status == Status::Ok {
             self.kept.insert((member, object));
         }
-        let note = note.filter(|_| self.settings.notes != Notes::Nothing || status != Status::Ok);
+        let note = note.filter(|_| self.settings.detail != Detail::Nothing || status != Status::Ok);
         let outcome =
             Outcome { elapsed: after, note, ..common::outcome(id, attempt, MemberId(member), status) };
         self.at(after.max(1), Step::Outcome { router, outcome });
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -31,9 +31,9 @@
     let kinds = [Idempotency::Idempotent, Idempotency::Deduplicated, Idempotency::AtMostOnce];
     let classes =
         kinds.map(|idempotency| Class { idempotency, dedup_group: DedupGroup::Zone, ..class() }).to_vec();
-    let notes = [Notes::All, Notes::Hit, Notes::Nothing][rng.below(3) as usize];
+    let detail = [Detail::All, Detail::Hit, Detail::Nothing][rng.below(3) as usize];
     let weights = [Weights::Unknown, Weights::Nominal][rng.below(2) as usize];
-    let mut w = World::new(Settings { classes, notes, weights, ..settings() });
+    let mut w = World::new(Settings { classes, detail, weights, ..settings() });
     let mut state: BTreeMap<u64, Lifecycle> = fleet().iter().map(|m| (m.id.0, Lifecycle::Ready)).collect();
     let mut cases: BTreeMap<u128, Case> = BTreeMap::new();
     let (mut all, mut purged) = (Vec::new(), BTreeMap::<u64, Micros>::new());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -341,7 +341,7 @@
 /// visayas rough-1.
 #[test]
 fn without_notes_a_refusal_counts_against_the_source_first() {
-    let mut w = World::new(Settings { notes: Notes::Hit, ..settings() });
+    let mut w = World::new(Settings { detail: Detail::Hit, ..settings() });
     let first = sent(&w.ask(1, "a"));
     let next = sent(&w.end(1, 0, first.member, Status::Full));
     assert_eq!(next.member, first.member);
