--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -1,4 +1,5 @@
-//! Clients' connections: each is read and written by a task of its own ([`connection`]) and answers every request once.
+//! Clients' connections. Each is read and written by a task of its own ([`connection`]), and every request gets exactly
+//! one answer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -33,73 +34,82 @@
 use drain_log::DrainLog;
 use queue::AcceptQueue;
 
-/// Requests that may be open on one connection.
+/// Number of open requests expected on one connection, by which its queues are sized. Twice as many are accepted before
+/// further ones are refused.
 pub const MOST_OPEN: usize = 32;
-/// What was used within this is not closed to make room: a request may be on its way.
+/// A connection used within this time, in microseconds, is not closed to make room, as a request may be on its way.
 const IN_USE: Micros = 50_000;
-/// Wait for room, or after a failed accept: out of descriptors, say.
+/// Delay before the next accept while no connection is free, or after a failed accept (without a descriptor, for
+/// example).
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// Connections that may wait to be accepted; the kernel lets one more in.
+/// Backlog of the listener: connections that may wait to be accepted. The kernel admits one more.
 pub const LISTEN_BACKLOG: usize = 1024;
-/// Told to stop, it takes so many connections at most: twice the queue's length. And it tries so often, after a failed
-/// accept, before it closes the listener all the same: a second's worth of [`ACCEPT_AGAIN`].
+/// Maximum number of queued connections accepted after the order to stop: twice the queue's length.
 const MOST_QUEUED: usize = 2 * LISTEN_BACKLOG;
+/// Number of failed accepts in a row after which a front that was told to stop closes the listener anyway: one second
+/// at a delay of [`ACCEPT_AGAIN`] each.
 const MOST_FAILED: usize = 50;
-/// Connections closed from this side that wait for the client's own close, while others wait to be accepted.
+/// Maximum number of connections that wait for their client's close, while others wait to be accepted.
 const MOST_CLOSING: usize = 8;
-/// Answers that may wait for a connection's writer: the open requests, and as many that were answered
-/// while an earlier answer was still being written.
+/// Capacity of a connection's answer queue: one answer for each open request, and as many that were ready while an
+/// earlier answer was still being written.
 const MOST_ANSWERS: usize = 2 * MOST_OPEN;
-/// Advice in milliseconds to a client that is refused before the module sees it, where the settings have advice.
+/// Retry delay, in milliseconds, advised to a client that is refused before the module sees its request, where the
+/// settings enable this advice.
 const STAY_AWAY: u64 = 200;
-/// A drain looks at every connection so often.
+/// Interval at which every connection is checked during a drain.
 const SWEEP: Duration = Duration::from_millis(25);
-/// Ids of requests that are remembered: each may come once.
+/// Ids per generation of the filter that detects repeated request ids: an id may be used once.
 const RIDS: usize = 8192;
+/// Time without a new request id, in microseconds, after which the filter changes generations.
 const RIDS_QUIET: Micros = 30_000_000;
 
-/// Descriptors kept for clients: the third of all that they may hold, and a few for those that come and go.
+/// Maximum number of clients' connections for this number of descriptors: a third of them, and a few for connections
+/// that are just opening or closing.
 pub fn most_clients(sockets: usize) -> usize {
     sockets / 3 + 8
 }
 
-/// What all connections share.
+/// The client side of the router: state shared by all clients' connections.
 #[derive(Debug)]
 pub struct Front {
     catalogue: Rc<Catalogue>,
     director: Sender<Message>,
-    /// Whether it takes clients: `isWell` and the second address are answered from this.
+    /// Drain state of the router. Answers to `isWell` and the readiness check on the management address come from it.
     drain: Rc<RefCell<Drain>>,
     counters: Rc<Counters>,
-    /// Answers not yet written, and bytes of bodies in them; as much is borne.
+    /// Number of answers not yet written.
     unflushed: Cell<usize>,
+    /// Bytes of the bodies in these answers.
     held: Cell<usize>,
+    /// Limit of `held`.
     most_held: Cell<usize>,
-    /// Bytes of writes taken in and not yet finished; as much is borne.
+    /// Bytes of bodies of open write requests.
     taken: Rc<Cell<usize>>,
+    /// Limit of `taken`.
     most_taken: Cell<usize>,
     most_connections: usize,
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
-    /// Ids of requests that came lately.
+    /// Ids of recent requests.
     rids: RefCell<AgeingFilter>,
-    /// Connections that this side has closed and reads to their ends.
+    /// Connections that this side has closed and that are read to their end.
     closing: ClosingConnections,
-    /// It is to close to make room.
+    /// Id of the connection that is to close to make room.
     wanted: Cell<Option<u64>>,
-    /// The listener is there.
+    /// The listener is open.
     accepting: Cell<bool>,
-    /// A connection ended.
+    /// Signals that a connection ended.
     freed: (Sender<()>, Receiver<()>),
-    /// No more connections are to be taken: a successor takes them.
+    /// Signals that no more connections are to be accepted, as a successor accepts them.
     stop: (Sender<()>, Receiver<()>),
-    /// The drain may have changed: the sweep sleeps on this while the router serves.
+    /// Signals that the drain state may have changed; the sweep waits for it while the router serves.
     nudged: (Sender<()>, Receiver<()>),
     next: Cell<u64>,
 }
 
 impl Front {
-    /// A front that hands its requests to the director. A third of the memory may lie in answers that slow
-    /// clients have not taken, an eighth in writes.
+    /// Creates a front that passes its requests to the director. Answers that slow clients have not read yet may take a
+    /// third of the memory, bodies of writes an eighth.
     pub fn new(
         catalogue: Rc<Catalogue>,
         director: Sender<Message>,
@@ -130,18 +140,18 @@
         })
     }
 
-    /// What became of connections and requests, by reason.
+    /// Counters of closed connections and of answers, by reason.
     pub fn counters(&self) -> Rc<Counters> {
         self.counters.clone()
     }
 
-    /// Whoever changes the drain tells the sweep with this.
+    /// Sender that wakes the sweep; to be used after every change of the drain state.
     pub fn nudger(&self) -> Sender<()> {
         self.nudged.0.clone()
     }
 
-    /// Closes what a drain or an end lets go, for ever: each connection once it owes nothing after the grace.
-    /// While the router serves it waits to be nudged, and costs no wake-up.
+    /// Runs for ever: closes each connection that a drain or a shutdown releases, that is, once it owes nothing after
+    /// the grace period. While the router serves, it waits for a signal and causes no wake-ups.
     pub async fn sweep(self: Rc<Self>) {
         let mut log = DrainLog::default();
         loop {
@@ -155,8 +165,9 @@
         }
     }
 
-    /// Asks each connection that the drain lets go to close: it looks once more whether anything came. Where the drain
-    /// waits no longer for a quiet moment, what is open gets its final answer, and who does not read is cut off.
+    /// Asks each connection that the drain releases to close; the connection checks its socket once more before it does.
+    /// Where the drain no longer waits for a connection to become free, its open requests get their final answers, and
+    /// clients that do not read are cut off.
     pub fn let_go(&self) {
         let (now, drain) = (clock::now(), self.drain.borrow());
         if drain.is_last_moment(now) {
@@ -167,7 +178,7 @@
             if drain.close(now, seen) {
                 let _ = port.close.try_send(());
             } else if port.is_waiting() && drain.gives_up(now, seen) {
-                // Where its mailbox is full it is told at the next look.
+                // If the director's mailbox is full, the next sweep sends the message.
                 let _ = self.director.try_send(Message::GiveUp { port: port.id });
             } else if seen.unwritten > 0 && drain.cuts(now, port.takes_nothing_since()) {
                 let _ = port.cut.try_send(CloseReason::Stalled);
@@ -175,41 +186,41 @@
         }
     }
 
-    /// Takes what waits to be accepted and then no more connections: the listener is closed, and the kernel
-    /// sends new ones to the process that shares the address.
+    /// Accepts the connections that are queued and then closes the listener: the kernel passes new connections to the
+    /// process that shares the address.
     pub fn stop_accepting(&self) {
         let _ = self.stop.0.try_send(());
     }
 
-    /// Clients' connections, and the requests open on them.
+    /// Number of clients' connections, and number of requests open on them.
     pub fn held(&self) -> (usize, usize) {
         let connections = self.connections.borrow();
         (connections.len(), connections.values().map(|c| c.seen().open).sum())
     }
 
-    /// No client has anything to come: no listener with connections in its queue, and each connection that there was has
-    /// been read to its end, answered and closed. Only then may the process exit: with it all else would be reset.
+    /// Whether the listener, with its queue, is closed and every connection was read to its end, answered and closed.
+    /// Only then may the process exit: the exit resets whatever connection is left.
     pub fn settled(&self) -> bool {
         !self.accepting.get() && self.connections.borrow().is_empty() && self.closing.len() == 0
     }
 
-    /// Bytes of answers that wait for clients to take them.
+    /// Bytes of answers that wait to be written to clients.
     pub fn backlog(&self) -> usize {
         self.held.get()
     }
 
-    /// All answers are written.
+    /// Whether all answers are written.
     pub fn flushed(&self) -> bool {
         self.unflushed.get() == 0
     }
 
-    /// Of so much memory its parts, from now on.
+    /// Sets the memory limits anew, as shares of this much memory.
     pub fn keep_to(&self, memory: usize) {
         self.most_held.set(memory / 3);
         self.most_taken.set(memory / 8);
     }
 
-    /// Guards the memory against slow readers: past the bound, who holds most is cut off.
+    /// Limits the memory taken by slow readers: over the limit, the connection with the most unwritten bytes is cut off.
     fn relieve(&self) {
         if self.held.get() <= self.most_held.get() {
             return;
@@ -220,16 +231,16 @@
         }
     }
 
-    /// The answer to what is refused before the module sees it.
+    /// Counts a request that is refused before the module sees it, and returns its answer.
     fn refuse(&self, call: Call, reason: RefusalReason) -> Verdict {
         self.counters.refused(reason);
         tracing::debug!(rid = call.rid, reason = reason.name(), "refused");
         Verdict::Refused(Refusal::new(SafeToRetry::unsent(call), &self.catalogue.settings, STAY_AWAY))
     }
 
-    /// Makes room for a client that waits to be accepted. Guards against connections that are held and not
-    /// used, which would keep all others out: one without any message goes first, else what was unused for
-    /// longest. A connection with an open request stays.
+    /// Asks one unused connection to close, to make room for a client that waits to be accepted. Otherwise connections
+    /// that are held and not used would keep all other clients out. One that never sent a message is chosen first, else
+    /// the one unused for longest. A connection with an open request stays.
     fn evict(&self) {
         let before = clock::now().saturating_sub(IN_USE);
         let connections = self.connections.borrow();
@@ -245,19 +256,20 @@
         self.connections.borrow().len() + self.closing.len() >= self.most_connections
     }
 
-    /// A connection has ended, or is closing.
+    /// Removes a connection that has ended or is closing.
     fn ended(&self, id: u64) {
         self.connections.borrow_mut().remove(&id);
         let _ = self.freed.0.try_send(());
     }
 
-    /// One that was closing has ended.
+    /// Removes a closing connection that has ended.
     fn closed(&self, id: u64) {
         self.closing.remove(id);
         let _ = self.freed.0.try_send(());
     }
 
-    /// Accepts clients, for ever. With all descriptors of clients in use, the next wait until one is free.
+    /// Accepts clients until told to stop. While all connections allowed for clients are in use, further clients wait
+    /// until one is free.
     pub async fn accept(
         self: Rc<Self>,
         listener: Async<std::net::TcpListener>,
@@ -267,7 +279,7 @@
         let mut queued = None;
         let (mut crowded, mut failing, mut failed) = (LimitedLine::default(), LimitedLine::default(), 0);
         loop {
-            // Told to stop, it takes what is queued first: that would be reset with the listener.
+            // On the order to stop, the queued connections are accepted first: closing the listener would reset them.
             let stop = async {
                 let _ = self.stop.1.recv().await;
                 None
@@ -281,7 +293,7 @@
                         None => {
                             queue.seen_empty(clock::now());
                             let accepted = accept.await;
-                            // Woken by who came: nobody waited before that.
+                            // Woken by the new connection: the queue was empty until then.
                             queue.seen_empty(clock::now());
                             accepted
                         }
@@ -318,7 +330,7 @@
                     failed = 0;
                     self.admit(stream, came.unwrap_or_else(clock::now), &tasks);
                 }
-                // The client's own end, or a signal: the next may wait already.
+                // The client has closed, or a signal came: the next connection may be waiting already.
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted) => {}
                 Err(e) => {
@@ -329,7 +341,7 @@
                     Timer::after(ACCEPT_AGAIN).await;
                 }
             }
-            // Told to stop, it takes no more than can have waited, and waits for no failure that goes on.
+            // After the order to stop: no more connections than can have been queued, and no endless retries.
             if queued.is_some_and(|taken| taken >= MOST_QUEUED || failed >= MOST_FAILED) {
                 break;
             }
@@ -339,7 +351,8 @@
         tracing::info!("no more connections taken; {} were waiting", queued.unwrap_or(0));
     }
 
-    /// Enters a new connection, which can have come at this time at the earliest, and starts its task.
+    /// Registers a new connection and starts its task. `came` is the earliest time at which the connection can have
+    /// arrived.
     fn admit(self: &Rc<Self>, stream: Async<TcpStream>, came: Micros, tasks: &LocalExecutor<'static>) {
         let id = self.next.get();
         self.next.set(id + 1);
--- a/silverspindle/src/front/closing.rs
+++ b/silverspindle/src/front/closing.rs
@@ -1,9 +1,9 @@
-//! Connections that this side has closed and whose client has not closed yet.
+//! Lingering close: connections that this side has closed and whose clients have not closed yet.
 //!
-//! Written to the kernel is not delivered: a close over unread bytes, or bytes that come after it, reset the connection,
-//! and with it go answers that this machine still holds. So this side ends its own stream alone, reads on and throws away
-//! what comes until the client ends its stream as well. The time is bounded, as are the bytes; the kernel holds little
-//! ([`UNSENT`]), so that the time is enough for a client that still reads.
+//! Bytes written to the kernel are not yet delivered: closing a socket with unread bytes, or bytes that arrive after the
+//! close, reset the connection, and answers that this machine still buffers are lost. So this side shuts down only its
+//! sending direction, and reads and discards what arrives until the client closes as well. Time and bytes are bounded. The
+//! kernel buffers little ([`UNSENT`]), so the time is enough for a client that still reads.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -17,34 +17,38 @@
 
 use crate::clock;
 
-/// Bytes of answers that the kernel holds unsent on a client's connection, about: the rest waits in this process, where
-/// it counts as owed. A client that reads 1 MB/s, the slowest that the operators name, takes them within some
-/// milliseconds, one at 60 kB/s within [`LINGER`].
+/// Approximate maximum of unsent bytes that the kernel buffers on a client's connection; the rest waits in this process,
+/// where it counts as unwritten. A client that reads 1 MB/s, the slowest rate that the operators name, reads this many
+/// within a few milliseconds, one at 60 kB/s within [`LINGER`].
 pub(super) const UNSENT: u32 = 16 * 1024;
-/// A client that reads has come to the end of the stream by then.
+/// Maximum time of a lingering close, in microseconds. A client that reads has reached the end of the stream by then.
 pub(super) const LINGER: Micros = 2_000_000;
-/// What is thrown away at most: a client that sends more at full speed is none that reads.
+/// Maximum number of bytes discarded on a closed connection: a client that sends more, at full speed, is not reading.
 const LINGER_BYTES: usize = 4 * 1024 * 1024;
-/// Where others wait for the room it is given up so long after the close, as what crosses that comes within 50 ms, and so
-/// long after an answer was last written to it.
+/// Minimum time of a lingering close, in microseconds, when others wait for the room: requests that crossed the close
+/// arrive within 50 ms.
 const CROSSES: Micros = 50_000;
+/// Minimum time from the last write of an answer to the end of a lingering close, in microseconds, when others wait for
+/// the room.
 const TAKEN_BY: Micros = 500_000;
 
-/// One of them.
+/// One lingering connection.
 #[derive(Debug)]
 struct Closing {
     id: u64,
-    /// May be given up for others from then on.
+    /// From then on the connection may be ended to make room for others.
     may_go: Micros,
+    /// Ends the connection.
     hurry: Sender<()>,
 }
 
-/// All of them.
+/// All lingering connections, in the order of their closes.
 #[derive(Debug, Default)]
 pub(super) struct ClosingConnections(RefCell<VecDeque<Closing>>);
 
 impl ClosingConnections {
-    /// This side has closed a connection to which bytes were last written then; what is returned says that others wait.
+    /// Adds a connection that this side has closed, with the time of the last write to it. The returned channel signals
+    /// that the connection has to end.
     pub fn add(&self, id: u64, last_written: Micros) -> Receiver<()> {
         let (hurry, hurried) = async_channel::bounded(1);
         let may_go = (clock::now() + CROSSES).max(last_written + TAKEN_BY);
@@ -52,12 +56,12 @@
         hurried
     }
 
-    /// One has ended.
+    /// Removes a connection that has ended.
     pub fn remove(&self, id: u64) {
         self.0.borrow_mut().retain(|closing| closing.id != id);
     }
 
-    /// Ends those that had their time: others wait for the room.
+    /// Ends the connections past their minimum time, as others wait for the room.
     pub fn hurry(&self) {
         let now = clock::now();
         for closing in self.0.borrow().iter().filter(|closing| closing.may_go <= now) {
@@ -65,20 +69,21 @@
         }
     }
 
-    /// Ends all of them.
+    /// Ends all lingering connections.
     pub fn end_all(&self) {
         for closing in self.0.borrow().iter() {
             let _ = closing.hurry.try_send(());
         }
     }
 
-    /// How many there are.
+    /// Number of lingering connections.
     pub fn len(&self) -> usize {
         self.0.borrow().len()
     }
 }
 
-/// Reads until the client closes as well, for so long at most, or until it is said that others wait.
+/// Reads and discards bytes until the client closes as well, the time `at_most` has passed, [`LINGER_BYTES`] were read or
+/// `hurried` signals.
 pub(super) async fn throw_away(stream: &Async<TcpStream>, at_most: Micros, hurried: Receiver<()>) {
     let read = async {
         let (mut stream, mut buffer, mut left) = (stream, [0; 4096], LINGER_BYTES);
--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: read and written by a task of its own, closed in one place.
+//! One client's connection. A task of its own reads and writes it, and it is closed in one place, [`Connection::run`].
 
 use std::cell::Cell;
 use std::io::{self, ErrorKind};
@@ -24,23 +24,24 @@
 use crate::traffic::{Message, Port, Verdict};
 use crate::{clock, invariant, thrift};
 
-/// Read at a time: an idle connection holds no more.
+/// Maximum number of bytes per read, and so of the buffer of an idle connection.
 const CHUNK: usize = 8 * 1024;
-/// Bodies up to this are copied behind their head, so that one write does.
+/// Bodies up to this number of bytes are copied behind their head, so that one write sends both.
 const SMALL: usize = 4096;
-/// Bytes of answers that may wait for a client before it is refused more: at 1 MB/s, the slowest that the operators name,
-/// they are taken within the time that a drain or an end leaves.
+/// Bytes of unwritten answers from which on a client's further requests are refused. A client that reads 1 MB/s, the
+/// slowest rate that the operators name, takes them within the time that a drain or a shutdown leaves.
 const MOST_BACKLOG: usize = 1_500_000;
-/// A client that takes no byte of an answer for so long is gone.
+/// A client that reads no byte of an answer for this time counts as gone.
 const STALLED: Duration = Duration::from_secs(10);
-/// A connection without an open request is closed after so long: usual clients close theirs after 4 s.
+/// Idle timeout of a connection without an open request, in microseconds. Usual clients close theirs after 4 s.
 const IDLE: Micros = 5_000_000;
-/// So long may pass to the first message of a connection, and within any: who says nothing, or half of
-/// something, is owed a close within 3 s.
+/// Timeout of the first message of a connection, and of completing any message, in microseconds. A client that sends
+/// nothing or half a message is entitled to a close within 3 s.
 const SILENT: Micros = 2_500_000;
-/// A message that began to come within this is waited for, when its connection is to be closed.
+/// When a connection is to be closed, a message that began to arrive less than this time ago, in microseconds, is waited
+/// for.
 const HALF: Micros = 300_000;
-/// What the writer has to write.
+/// Reply for the writer to encode and send.
 #[derive(Debug)]
 pub(super) enum Reply {
     Verdict(i32, Verdict),
@@ -48,43 +49,48 @@
     Unknown(i32, String),
 }
 
-/// A connection as the director and the front see it.
+/// A connection's state, shared between its task, the director and the front.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub id: u64,
-    /// Answers to requests that were handed on.
+    /// Queue of answers to requests that were passed to the director.
     out: Sender<Reply>,
-    /// Requests handed on whose answer is not written yet: from the moment they are read to the last byte.
+    /// Number of requests passed to the director, counted from when they are read until the last byte of their answer
+    /// is written.
     pub open: Cell<usize>,
-    /// Any message came; and when it last had something to do.
+    /// A message was received on this connection.
     pub asked: Cell<bool>,
+    /// When a message was last received or a request last finished.
     pub used: Cell<Micros>,
-    /// When a request last came.
+    /// When a request was last received.
     last_request: Cell<Option<Micros>>,
-    /// Half a message was there at the last look before a close.
+    /// Part of a message had arrived at the last check before a close.
     half: Cell<bool>,
-    /// When the client last took bytes of an answer.
+    /// When bytes of an answer were last written.
     taken: Cell<Micros>,
-    /// Since when answers wait to be written; 0: none did yet.
+    /// Since when answers have been waiting to be written; 0 if none ever did.
     waits_since: Cell<Micros>,
-    /// What it has still to read.
+    /// Estimate of what the client has still to read.
     reading: Reading,
-    /// Ends it at once.
+    /// Closes the connection at once.
     pub cut: Sender<CloseReason>,
-    /// Asks it to close once it owes nothing.
+    /// Asks the connection to close once it owes nothing.
     pub close: Sender<()>,
+    /// Bytes of the bodies in unwritten answers.
     pub held: Cell<usize>,
+    /// Number of unwritten answers.
     pub owed: Cell<usize>,
-    /// Replies of the reader's own, not written yet.
+    /// Number of unwritten replies by the reader itself, which needed no decision.
     replies: Cell<usize>,
     /// The client has closed, or its connection was cut.
     gone: Cell<bool>,
-    /// To look at once more when something is sent for it; not held, so that it closes with its task.
+    /// Checked for the client's close before anything is sent on its behalf. Weak, so that the socket closes with the
+    /// connection's task.
     stream: Weak<Async<TcpStream>>,
     front: Rc<Front>,
 }
 
-/// Ends of the channels that its task reads.
+/// Receiving ends of the channels that the connection's task reads.
 pub(super) struct Ends {
     answers: Receiver<Reply>,
     cuts: Receiver<CloseReason>,
@@ -96,7 +102,7 @@
         self.id
     }
 
-    /// It waits in a queue that the count of open requests bounds.
+    /// Puts the answer into a queue that is bounded by the number of open requests.
     fn answer(&self, seq: i32, verdict: Verdict) {
         let bytes = verdict.bytes();
         if self.out.try_send(Reply::Verdict(seq, verdict)).is_ok() {
@@ -112,7 +118,8 @@
         self.finished();
     }
 
-    /// Looks at the socket itself: its reader may not have come round to the end, or wait for room in a queue.
+    /// Checks the socket itself: the reader may not have reached the end of the stream yet, or may be waiting for room
+    /// in a queue.
     fn is_gone(&self) -> bool {
         if self.gone.get() {
             return true;
@@ -120,7 +127,7 @@
         let Some(stream) = self.stream.upgrade() else { return true };
         let gone = match stream.get_ref().peek(&mut [0]) {
             Ok(0) => true,
-            // An end behind bytes that wait to be read.
+            // The client may have closed behind bytes that are still unread.
             Ok(_) => {
                 let mut fds = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
                 let now = Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -135,7 +142,7 @@
 }
 
 impl Connection {
-    /// A new connection and the ends that its task needs.
+    /// Creates a connection's state and the channel ends that its task needs.
     pub fn new(id: u64, stream: &Rc<Async<TcpStream>>, front: &Rc<Front>) -> (Rc<Self>, Ends) {
         let (out, answers) = async_channel::bounded(MOST_ANSWERS);
         let (cut, cuts) = async_channel::bounded(1);
@@ -163,7 +170,7 @@
         (Rc::new(port), Ends { answers, cuts, closes })
     }
 
-    /// What the drain goes by.
+    /// The state by which the drain decides about this connection.
     pub fn seen(&self) -> Seen {
         Seen {
             open: self.open.get() + self.replies.get(),
@@ -176,7 +183,8 @@
         }
     }
 
-    /// Why a drain or an end keeps it for now; none: it closes at its next look, or nothing lets it go.
+    /// Why a drain or a shutdown keeps the connection for now; none if it closes at its next check or neither is under
+    /// way.
     pub fn hold(&self, now: Micros) -> Option<&'static str> {
         let hold = self.front.drain.borrow().hold(now, self.seen());
         match hold {
@@ -186,28 +194,29 @@
         }
     }
 
-    /// Requests on it wait for their answer.
+    /// Whether requests on the connection wait for the director's answer.
     pub fn is_waiting(&self) -> bool {
         self.open.get() > self.owed.get()
     }
 
-    /// Since when the client has taken nothing of the answers that wait: it had nothing to take before they came.
+    /// Since when the client has read nothing of the waiting answers. The time before they were ready does not count.
     pub fn takes_nothing_since(&self) -> Micros {
         self.taken.get().max(self.waits_since.get())
     }
 
-    /// For log lines: how many answers wait to be written, and how long ago a request last came.
+    /// For log lines: the number of answers that wait to be written, and the time since the last request.
     pub fn backlog(&self, now: Micros) -> (usize, Option<Micros>) {
         (self.owed.get(), self.last_request.get().map(|at| now.saturating_sub(at)))
     }
 
+    /// Counts an open request as finished.
     fn finished(&self) {
         invariant!(self.open.get() > 0, "more requests finished than taken in");
         self.open.set(self.open.get().saturating_sub(1));
         self.used.set(clock::now());
     }
 
-    /// Books answers that wait to be written, and the bytes of their bodies.
+    /// Changes the counts of unwritten answers and of the bytes of their bodies, here and in the front.
     fn owe(&self, answers: isize, bytes: isize) {
         for (count, change) in [
             (&self.owed, answers),
@@ -220,7 +229,7 @@
         }
     }
 
-    /// When a connection that says no more is closed; none while a request is open.
+    /// When the connection is closed if nothing more arrives; none while a request is open.
     fn idle_until(&self, begun: Option<Micros>) -> Option<Micros> {
         match (self.asked.get(), begun) {
             (false, _) => Some(self.used.get() + SILENT),
@@ -229,18 +238,18 @@
         }
     }
 
-    /// The connection's life: the one place where it ends.
+    /// Runs the connection until it is closed. This is the only place where it ends.
     pub async fn run(self: Rc<Self>, stream: Rc<Async<TcpStream>>, came: Micros, ends: Ends) {
         let _ = stream.get_ref().set_nodelay(true);
-        // What the kernel holds is out of sight: a platform without the option keeps the usual.
+        // Limits the unsent bytes in the kernel, which can't be observed. Platforms without the option keep the default.
         let _ = SockRef::from(stream.get_ref()).set_tcp_notsent_lowat(UNSENT);
-        // What needs no decision is answered by the reader itself, which waits while that is not taken.
+        // The reader itself replies to messages that need no decision; it waits while these replies are not written.
         let (own, direct) = async_channel::bounded(MOST_OPEN);
         let cut = async { Ok(End::Closing(ends.cuts.recv().await.unwrap_or(CloseReason::Memory))) };
         let write = self.write(&stream, &ends.answers, &direct);
         let ended = future::or(cut, future::or(self.read(&stream, came, own, &ends.closes), write)).await;
-        // Nothing may come between the last look at the socket, which found nothing, and this: what is read from here
-        // on is thrown away. The client sends it anew elsewhere.
+        // No await may come between the last check of the socket, which found nothing, and this line: whatever arrives
+        // from here on is discarded, and the client sends it again elsewhere.
         self.gone.set(true);
         let reason = match &ended {
             Ok(End::Closing(reason)) => *reason,
@@ -250,12 +259,12 @@
         let open = self.seen().open;
         tracing::debug!(client = self.id, open, reason = reason.name(), "closed");
         self.front.counters.closed(reason);
-        // Answers that it was given before stay readable, whatever ends it from this side.
+        // Whatever the reason for a close from this side, answers already written stay readable.
         let lingers = reason != CloseReason::ClientLeft && stream.get_ref().shutdown(Shutdown::Write).is_ok();
         let hurried = lingers.then(|| self.front.closing.add(self.id, self.taken.get()));
         self.front.ended(self.id);
         self.out.close();
-        // What was not written is not owed any more.
+        // Unwritten answers no longer count.
         self.owe(-(self.owed.get() as isize), -(self.held.get() as isize));
         if let Some(hurried) = hurried {
             let _ = self.front.director.send(Message::Left { port: self.id }).await;
@@ -269,7 +278,7 @@
         }
     }
 
-    /// What an error on the connection means for it.
+    /// Close reason for an error on the connection.
     fn reason_of(&self, error: &io::Error) -> CloseReason {
         match error.kind() {
             ErrorKind::InvalidData => {
@@ -297,7 +306,7 @@
         loop {
             let begun = frames.begun();
             let quiet = async {
-                // Looked at again after IDLE at the latest, as a request may have ended meanwhile.
+                // Checked again after IDLE at the latest, as a request may have finished meanwhile.
                 let until = self.idle_until(begun).unwrap_or(clock::now() + IDLE);
                 clock::at(until).await;
                 Err(ErrorKind::WouldBlock.into())
@@ -306,10 +315,10 @@
                 let _ = closes.recv().await;
                 Err(ErrorKind::WouldBlock.into())
             };
-            // The socket is read first at each turn: where a close is due as well, what came goes before it.
+            // The socket is polled first, so that a message that has arrived goes before a close that is due.
             let frame = match future::or(frames.next(), future::or(asked, quiet)).await {
                 Ok(Some(frame)) => frame,
-                // The client has closed, also where requests are open: nobody waits for them.
+                // The client has closed. If requests are open, nobody waits for their answers.
                 Ok(None) => return Ok(End::Left),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => match self.may_close(frames.begun()) {
                     Some(reason) => return Ok(End::Closing(reason)),
@@ -327,17 +336,18 @@
                 }
                 thrift::Message::Unknown { oneway: true, .. } => None,
                 thrift::Message::Serve { seq, .. } if seq <= last_seq => {
-                    // Two answers under one number could not be told apart.
+                    // Two answers with the same sequence number could not be told apart.
                     return Err(Malformed("a number that does not count up").into());
                 }
                 thrift::Message::Serve { seq, fields, body } => {
                     last_seq = seq;
                     self.last_request.set(Some(arrived));
                     let body = frame.slice_ref(body);
-                    // Its time runs from its last byte, wherever that lay until it was read: the deadline that is passed on
-                    // must be no more than the client has left.
+                    // The request's time runs from the arrival of its last byte, even if it was read later: the deadline
+                    // passed on must not exceed the time that the client has left.
                     match front.call(&fields, body, frames.came()) {
-                        // Past what may be open: nothing has run, and `forget` must be read behind it.
+                        // Too many open requests. Nothing has run, so a refusal is safe; reading must go on, as a `forget`
+                        // may follow.
                         Ok(call) if self.open.get() >= MOST_ANSWERS => {
                             Some(Reply::Verdict(seq, front.refuse(call, RefusalReason::TooManyOpen)))
                         }
@@ -365,26 +375,26 @@
                 self.replies.set(self.replies.get() + 1);
                 own.send(reply).await.map_err(closed)?;
             }
-            // A client that sends at full speed must not keep others out.
+            // A client that sends at full speed must not starve the others.
             future::yield_now().await;
         }
     }
 
-    /// Why a drain or an end refuses a request that came now.
+    /// Why a drain or a shutdown refuses a request that arrived now, if it does.
     fn refuses(&self, arrived: Micros, deadline: Micros) -> Option<RefusalReason> {
         self.front.drain.borrow().refuses(arrived, deadline, self.seen())
     }
 
-    /// Why it closes, now that there was nothing to read: it is to, by its own time or because it was asked, and owes
-    /// nothing.
+    /// Reason to close now, when there was nothing to read: a timeout has passed or a close was asked for, and the
+    /// connection owes nothing. None if it stays open.
     fn may_close(&self, begun: Option<Micros>) -> Option<CloseReason> {
         let now = clock::now();
         let idle = self.idle_until(begun).is_some_and(|until| until <= now);
         let waits = self.front.drain.borrow().waits_for_halves(now);
         let half = waits && begun.is_some_and(|begun| now < begun + HALF);
         self.half.set(half);
-        // Half a message for so long ends the connection with all that is open on it: who sends it is broken, and the
-        // time that has passed would be over at every further look.
+        // An incomplete message past its timeout ends the connection, also with requests open: such a client is broken,
+        // and as the timeout has passed, every further wait would end at once.
         if begun.is_some_and(|begun| now >= begun + SILENT) {
             return Some(CloseReason::HalfMessage);
         }
@@ -430,7 +440,7 @@
                 self.replies.set(self.replies.get().saturating_sub(1));
             }
             written?;
-            // Under a drain a connection goes with its last answer, before its client sends anew.
+            // During a drain a connection closes right after its last answer, before the client sends another request.
             if self.owed.get() == 0 && self.front.drain.borrow().close(clock::now(), self.seen()) {
                 let _ = self.close.try_send(());
             }
@@ -440,7 +450,7 @@
 }
 
 impl Connection {
-    /// Writes all of it, as long as the client takes some of it every now and then.
+    /// Writes all bytes; fails if the client takes none of them for [`STALLED`].
     async fn write_part(&self, mut stream: &Async<TcpStream>, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             let stalled = async {
@@ -463,9 +473,9 @@
 
 /// How a connection ended.
 enum End {
-    /// The client has closed, or nobody is left to answer.
+    /// The client has closed, or no further answers can come.
     Left,
-    /// This side closes it, and owes nothing.
+    /// This side closes the connection.
     Closing(CloseReason),
 }
 
@@ -473,7 +483,7 @@
     ErrorKind::BrokenPipe.into()
 }
 
-/// The parts of a reply: what stands before the body, the body as it came, what stands behind.
+/// Encodes a reply in three parts: the bytes before the body, the body without a copy, the bytes after it.
 fn encode(reply: Reply) -> (Vec<u8>, Bytes, Vec<u8>) {
     let whole = |frame| (frame, Bytes::new(), Vec::new());
     match reply {
--- a/silverspindle/src/front/drain_log.rs
+++ b/silverspindle/src/front/drain_log.rs
@@ -1,5 +1,5 @@
-//! What a drain or an end still waits for, in the log: how many connections are held and why, at its start, every second
-//! and at its end.
+//! Logs the progress of a drain or a shutdown: the number of connections still held and the reasons, at its start, every
+//! second and at its end.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -11,22 +11,22 @@
 use super::connection::Connection;
 use crate::clock;
 
-/// While connections are held it says so this often.
+/// Interval between progress lines while connections are held, in microseconds.
 const SAY_EVERY: Micros = 1_000_000;
-/// Connections that are described one by one, those held for longest first.
+/// Maximum number of connections that are described one by one, oldest first.
 const MOST_DESCRIBED: usize = 3;
 
-/// What was said of the drain that is on.
+/// What has been logged about the current drain.
 #[derive(Debug, Default)]
 pub(super) struct DrainLog {
-    /// Its time, and when its state was last said.
+    /// When the drain began, and when its progress was last logged.
     began: Option<(Micros, Micros)>,
-    /// That all connections are gone was said.
+    /// The line that all connections are closed was logged.
     emptied: bool,
 }
 
 impl DrainLog {
-    /// Looks at the drain, and says what there is to say.
+    /// Checks the state of the drain and logs what has changed.
     pub fn look(&mut self, front: &Front) {
         let (now, since) = (clock::now(), front.drain.borrow().since());
         match (since, self.began) {
@@ -68,7 +68,7 @@
     }
 }
 
-/// How many connections are held for each reason.
+/// The number of connections held for each reason, as text.
 fn reasons(front: &Front, now: Micros) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for connection in front.connections.borrow().values() {
--- a/silverspindle/src/front/queue.rs
+++ b/silverspindle/src/front/queue.rs
@@ -1,39 +1,40 @@
-//! The listener's queue of connections that wait to be accepted, as far as it can be told from this side.
+//! Estimates how long connections waited in the listener's accept queue.
 //!
-//! A client's time runs from its request's last byte, also while its connection waits to be accepted. The system does not say
-//! how long it waited, only whether anything waits at all, and it hands connections out in their order. From that follows the
-//! earliest time at which each can have come: not before the queue was last seen empty, nor before room was made for it.
+//! A request's time runs from the arrival of its last byte, also while its connection waits to be accepted. The operating
+//! system does not report how long a connection waited, only whether any is waiting, and it returns them in the order of
+//! arrival. From this follows the earliest time at which each can have arrived: not before the queue was last seen empty,
+//! nor before there was room for it.
 
 use std::collections::VecDeque;
 
 use bitternhold::Micros;
 
-/// What is known of the queue.
+/// What is known about the accept queue.
 #[derive(Debug)]
 pub struct AcceptQueue {
-    /// So many connections may wait in it.
+    /// Maximum number of connections in the queue.
     length: usize,
-    /// When it was last seen empty.
+    /// Earliest time at which the next connection can have arrived: the queue was empty then, or had just got room.
     empty_at: Micros,
-    /// When connections were taken out of it since, the last ones: as many as may wait.
+    /// Times of the latest accepts since the queue was last seen empty, at most `length` of them.
     taken: VecDeque<Micros>,
 }
 
 impl AcceptQueue {
-    /// A queue of this length, empty now.
+    /// Creates the state of a queue of this length that is empty now.
     pub fn new(length: usize, now: Micros) -> Self {
         Self { length, empty_at: now, taken: VecDeque::new() }
     }
 
-    /// It was looked into and held nothing.
+    /// Notes that the queue was found empty.
     pub fn seen_empty(&mut self, now: Micros) {
         self.empty_at = now;
         self.taken.clear();
     }
 
-    /// A connection was taken out; the earliest time at which it can have come.
+    /// Notes that a connection was accepted, and returns the earliest time at which it can have arrived.
     pub fn take(&mut self, now: Micros) -> Micros {
-        // It entered a queue that was not full: of those before it, all but so many had been taken.
+        // The queue was not full when this connection entered it: of those before it, all but `length - 1` were accepted.
         let room_made = if self.taken.len() >= self.length { self.taken.pop_front() } else { None };
         self.taken.push_back(now);
         self.empty_at = self.empty_at.max(room_made.unwrap_or(0));
--- a/silverspindle/src/front/request.rs
+++ b/silverspindle/src/front/request.rs
@@ -1,4 +1,4 @@
-//! A request from its fields: what can't be used fails here, and nothing is sent for it.
+//! Builds a request from its fields. Invalid requests fail here, and nothing is sent for them.
 
 use std::cell::{Cell, RefCell};
 
@@ -12,28 +12,31 @@
 use crate::thrift;
 use crate::traffic::{Call, Taken, Verdict};
 
-/// Longest text passed on, and the highest part of an object that is believed.
+/// Maximum length in bytes of a text that is passed on to caches.
 const MOST_TEXT: usize = 128;
+/// Maximum part number of an object.
 const MOST_PART: u64 = u16::MAX as u64;
-/// A budget over this multiple of the class's deadline is no figure of a client's.
+/// Maximum budget of a request, as a multiple of its class's deadline. A higher value is invalid.
 const OVER_DEADLINE: u64 = 2;
-/// A size that takes this many times longer to send than any client of the site waits is no size.
+/// Maximum size of an object, as a multiple of the size that can be sent within the longest budget of the request's
+/// class. A larger size is invalid.
 const OVER_SIZE: f64 = 1000.0;
 
 impl Front {
-    /// A request from its fields. One that can't be used is failed here: nothing may be sent for it.
+    /// Builds a request from its fields, or returns the answer to one that is invalid or refused: nothing may be sent
+    /// for it.
     pub(super) fn call(
         &self,
         fields: &thrift::Fields,
         body: Bytes,
         arrived: Micros,
     ) -> Result<Call, Verdict> {
-        // Outer none: not readable; inner none: not given.
+        // Outer none: not valid UTF-8. Inner none: the field is absent.
         let given = |name: &str| match fields.iter().find(|(n, _)| *n == name.as_bytes()) {
             Some((_, value)) => std::str::from_utf8(value).ok().map(Some),
             None => Some(None),
         };
-        // Caches read lists of name=value: what would end a value there must not get into one.
+        // Caches parse lists of name=value, so a value must not hold a separator.
         let plain = |t: &str| {
             let good = |b: u8| b.is_ascii_graphic() && b != b',' && b != b'=';
             ((1..=MOST_TEXT).contains(&t.len()) && t.bytes().all(good)).then(|| t.to_owned())
@@ -43,7 +46,7 @@
             None => Some(None),
         };
         let number = |text: &str| text.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0);
-        // Digits alone: what is passed on must be what the client wrote.
+        // Digits only, without a sign or blanks: the number passed on must be what the client wrote.
         let whole = |name: &str, most: u64| match given(name)? {
             Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => {
                 text.parse().ok().filter(|n: &u64| *n <= most)
@@ -65,9 +68,10 @@
             if budget > OVER_DEADLINE.saturating_mul(terms.deadline) {
                 return None;
             }
-            // A size that nobody could ever be sent is none. One that takes longer than this client waits is served all
-            // the same (the deadline is short, or the object large), but not believed to the letter: it would be
-            // counted in the class's mean sending time, by which just-started caches are spared, for a thousand requests.
+            // A size that could never be sent to any client is invalid. One that takes longer to send than this client
+            // waits is accepted, as the deadline may be short or the object large, but the size is capped: it would
+            // otherwise count in the class's mean sending time, by which just-started caches are spared, for a thousand
+            // requests.
             let flow = self.catalogue.settings.flow_kb_per_s;
             let believed = OVER_DEADLINE as f64 * terms.deadline as f64 / 1e6 * flow;
             let size_kb = match given("mem")? {
@@ -93,13 +97,13 @@
             })
         };
         let call = read().ok_or(Verdict::Failed)?;
-        // An id is new with every request. Guards against answers that can't be told apart, and against floods
-        // of one request: only the first goes on.
+        // Every request must have a new id, as answers to the same id can't be told apart. This also stops a flood of
+        // one request: only the first is sent on.
         if hex(&call.rid).is_none_or(|rid| self.rids.borrow_mut().seen(arrived, rid)) {
             return Err(Verdict::Failed);
         }
         match self.taken.get() > self.most_taken.get() {
-            // Guards the memory: nothing has run, so a refusal does no harm.
+            // Limits the memory taken by writes. Nothing has run, so a refusal does no harm.
             true => Err(self.refuse(call, RefusalReason::Memory)),
             false => Ok(call),
         }
--- a/silverspindle/src/links.rs
+++ b/silverspindle/src/links.rs
@@ -1,5 +1,6 @@
-//! Connections between routers: TCP with mutual TLS, the exchange's frames on it, and frames of any type that go over
-//! it in pieces, both ways at once. Below the exchange, the agreement and the distribution, which all use it.
+//! Connections between routers: TCP with mutual TLS, carrying the messages of the exchange protocol, and on top of these
+//! frames of any serializable type, split into pieces and sent in both directions at once. The exchange, the agreement
+//! and the distribution are built on this module.
 
 use std::cell::RefCell;
 use std::io;
@@ -22,29 +23,30 @@
 use crate::framing::{self, Messages};
 use crate::knowledge::keys::Tls;
 
-/// A connection not up by then has failed; the same for its first frame.
+/// Timeout of a TCP connect, and of the first frame on a connection.
 pub(crate) const CONNECT: Duration = Duration::from_secs(1);
-/// The same for the handshake on it.
+/// Timeout of the TLS handshake.
 pub(crate) const HANDSHAKE: Duration = Duration::from_secs(2);
-/// Half a frame without more for so long is a stop.
+/// Timeout between two reads of a frame that has begun.
 pub(crate) const STALL: Duration = Duration::from_secs(1);
-/// A write that gets no further for so long ends its connection.
+/// Timeout of writing one piece of a frame; the connection ends when it expires.
 const WRITE: Duration = Duration::from_secs(2);
-/// Bytes that are read at a time.
+/// Maximum number of bytes per read.
 const CHUNK: usize = 16 * 1024;
 
-/// A connection that a peer has made.
+/// A connection accepted from a peer.
 pub type Accepted = server::TlsStream<Async<TcpStream>>;
 /// A connection made to a peer.
 pub type Connected = client::TlsStream<Async<TcpStream>>;
 
-/// Takes over connections that stay, once their first frame is read.
+/// Takes over long-lived connections after their first frame.
 pub trait Service {
-    /// The life of a connection of the peer with this name in its certificate, or why it is refused.
+    /// Returns the task that serves a connection of the peer with this name in its certificate, or the reason for
+    /// refusing it.
     fn accept(&self, name: &str, stream: Accepted) -> Result<Pin<Box<dyn Future<Output = ()>>>, String>;
 }
 
-/// Work that fails where it takes longer.
+/// Runs `work` with a timeout. `what` names the awaited thing in the error.
 pub(crate) async fn within<T>(
     time: Duration,
     what: &str,
@@ -57,26 +59,27 @@
     future::or(work, late).await
 }
 
-/// Bytes that the exchange's first frame in a buffer needs.
+/// Number of bytes that the first message of the exchange protocol in the buffer needs.
 pub(crate) fn measure(buffer: &[u8]) -> Result<usize, framing::Malformed> {
     protocol::measure(buffer).map_err(|_| framing::Malformed("a frame longer than any may be"))
 }
 
+/// An I/O error of kind `InvalidData`.
 pub(crate) fn malformed(why: impl std::fmt::Display) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why.to_string())
 }
 
-/// What it takes to connect.
+/// Opens connections to other routers.
 #[derive(Clone)]
 pub struct Connector {
-    /// Who this is.
+    /// Identity of this router.
     pub me: Source,
-    /// Keys, read anew on SIGHUP.
+    /// TLS certificates and keys, reloaded on SIGHUP.
     pub tls: Rc<RefCell<Tls>>,
 }
 
 impl Connector {
-    /// A connection to the router with this name in its certificate.
+    /// Opens a TLS connection to the router with this name in its certificate.
     pub async fn reach(&self, name: &str, at: SocketAddr) -> io::Result<Connected> {
         let server = ServerName::try_from(name.to_owned()).map_err(io::Error::other)?;
         let connector = TlsConnector::from(self.tls.borrow().client.clone());
@@ -85,7 +88,7 @@
         within(HANDSHAKE, "handshake", connector.connect(server, stream)).await
     }
 
-    /// The same, with this first frame sent on it.
+    /// Opens a connection and sends its first message.
     pub async fn connect(&self, name: &str, at: SocketAddr, first: &Message) -> io::Result<Connected> {
         let mut stream = self.reach(name, at).await?;
         stream.write_all(&protocol::encode(first, VERSION)).await?;
@@ -94,7 +97,7 @@
     }
 }
 
-/// Writes a frame in its pieces.
+/// Writes a frame as a sequence of pieces.
 pub async fn write<F: Serialize>(stream: &mut (impl AsyncWrite + Unpin), frame: &F) -> io::Result<()> {
     for piece in pieces(frame) {
         let bytes = protocol::encode(&Message::Piece(piece), VERSION);
@@ -103,7 +106,7 @@
     within(WRITE, "room for a frame", stream.flush()).await
 }
 
-/// Reads frames of so many bytes at most until the connection ends, or one can't be taken.
+/// Reads frames of at most `most` bytes and passes them to `each`, until the connection ends or `each` returns an error.
 pub async fn read<F: DeserializeOwned>(
     stream: impl AsyncRead + Unpin,
     most: usize,
@@ -124,8 +127,8 @@
     Ok(())
 }
 
-/// Both ways at once, until one of them ends. `most`: bytes of a frame of the peer's. One on which nothing is sent for as
-/// long as `idle` is closed.
+/// Sends the queued frames and reads the peer's frames at the same time, until one direction ends. A frame of the peer
+/// may have at most `most` bytes. The connection is closed when nothing was sent for `idle`.
 pub async fn both<F, S>(
     stream: S,
     frames: &Receiver<F>,
@@ -156,7 +159,8 @@
     future::or(writes, read(reader, most, each)).await
 }
 
-/// Asks, and waits for the first frame that is an answer. `why`: what may be wrong where the peer closes instead.
+/// Sends a question and waits for the first frame that `good` accepts as its answer. `why` names a likely cause in the
+/// error if the peer closes the connection instead.
 pub async fn ask<F, T>(
     mut stream: Connected,
     question: &F,
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -1,4 +1,5 @@
-//! A peer's actor: its connections, and the attempts on them. A peer is known by its id, not its address.
+//! One actor for each member of the list (here: peer): its connections and the attempts in flight on them. A peer is
+//! identified by its member id, not by its address.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
@@ -18,77 +19,83 @@
 use crate::resp::{self, Word};
 use crate::traffic::{Attempt, Descriptor, End, Message, Shared};
 
-/// Orders that may wait for an actor; a director that finds it full counts the attempt as never sent.
+/// Capacity of an actor's mailbox. Where it is full the director counts the attempt as never sent.
 pub const MAILBOX: usize = 256;
-/// Commands that may wait on a connection: its streams and what gives them up.
+/// Capacity of a connection's command queue: its streams and the commands that abandon them.
 const MOST_WAITING: usize = 96;
-/// Given-up ids that a connection remembers, and for how long: an answer may have crossed.
+/// Maximum number of abandoned ids that a connection remembers, as their answers may already be on the way.
 const MOST_CROSSING: usize = 256;
+/// Time for which an abandoned id is remembered, in microseconds.
 const CROSSING: Micros = 10_000_000;
-/// A probe without an answer for so long has failed; nothing waits for it any more.
+/// Timeout of a probe, in microseconds.
 const PROBE_WAIT: Micros = 2_000_000;
-/// Read at a time.
+/// Maximum number of bytes per read.
 const CHUNK: usize = 32 * 1024;
-/// An answer that has begun comes whole in a few milliseconds; one that gets no further for so long is cut
-/// off, and its connection is of no more use.
+/// Timeout between two reads of an answer that has begun; the connection is closed when it expires. An answer is
+/// usually complete within a few milliseconds.
 const STALL: Duration = Duration::from_millis(300);
-/// Weight of an answer, or of a connection that broke under attempts, in the running share of the latter.
+/// Weight of one observation (an answer, or a connection that broke with attempts in flight) in the moving average of
+/// breaks.
 const BREAK_LEARN: f64 = 0.05;
-/// How often idle connections are looked for: so many times in the time after which they are closed, at most and at least.
+/// Number of sweeps for idle connections per idle timeout; also the divisor of the timeout that gives the safety margin.
 const IDLE_PART: Micros = 10;
+/// Maximum interval between sweeps, in microseconds.
 const SWEEP: Micros = 1_000_000;
+/// Minimum interval between sweeps, in microseconds.
 const SWEEP_LEAST: Micros = 50_000;
-/// Connections are closed so much before the peer does: the way there, and the time that a write may wait for its turn.
+/// Minimum time by which a connection is closed before the peer's own idle timeout, in microseconds: covers the network
+/// delay and the time that a write may be queued.
 const IDLE_MARGIN: Micros = 250_000;
 
-/// What an actor is asked to do, and what its connections tell it.
+/// Message to a peer's actor, from the director or from one of the actor's connections.
 #[derive(Debug)]
 pub enum Order {
     /// Send an attempt.
     Send(Rc<Attempt>),
-    /// Nobody waits for an attempt any more; it timed out if so said.
+    /// Abandon an attempt: its answer is no longer needed. The flag says whether it timed out.
     GiveUp(Rc<Attempt>, bool),
     /// Probe the peer.
     Probe,
-    /// It listens there now; a later number overrules an earlier one.
+    /// The peer's current address, with a version: a message with a lower version than the last one is ignored.
     Address(SocketAddr, u64),
-    /// It is gone: finish what is out, then end.
+    /// The member has left the list: finish the attempts in flight, then end the actor.
     Retire,
-    /// A connection is up.
+    /// A connection is established.
     Up(u64, Rc<Async<TcpStream>>),
-    /// A connection brought an answer.
+    /// A connection received an answer.
     Answer(u64, Bytes),
-    /// An attempt was not written, as the board forbade it.
+    /// A connection did not write an attempt, because the board no longer allowed it.
     Unwritten(u64, Rc<Attempt>),
-    /// A connection ended, or never came up.
+    /// A connection ended, or could not be established.
     Down(u64, io::Error),
 }
 
-/// What a writer writes.
+/// Command to a connection's writer.
 #[derive(Debug)]
 enum Command {
     Want(Rc<Attempt>),
     Plain(Vec<u8>),
 }
 
-/// A connection as the actor sees it.
+/// The actor's state of one connection.
 #[derive(Debug)]
 struct Line {
     commands: Sender<Command>,
     up: bool,
-    /// Its socket, to be closed before the ends of what was out on it are told.
+    /// Kept so that the socket can be shut down before the director learns how the attempts on it ended.
     socket: Option<Rc<Async<TcpStream>>>,
-    /// Attempts and probes by the id under which their answer comes.
+    /// Attempts and probes in flight, by the id that their answer carries.
     streams: HashMap<Bytes, Stream>,
-    /// Given-up ids: an answer may still come, so they are not used again here for a while.
+    /// Abandoned ids and when they were abandoned. Their answers may still arrive, so the ids are not reused on this
+    /// connection for [`CROSSING`].
     crossing: HashMap<Bytes, Micros>,
     last_used: Micros,
-    /// An attempt timed out with nothing heard from the peer since it was given to a connection.
+    /// An attempt timed out and nothing was received from the peer since the attempt was queued on a connection.
     silent: bool,
-    /// It gets nothing new and is closed when what it has is done.
+    /// No new attempts; the connection is closed when those in flight are finished.
     closing: bool,
     _descriptor: Descriptor,
-    /// Its task ends when this is dropped.
+    /// Dropping this ends the connection's task.
     _alive: Sender<()>,
 }
 
@@ -98,28 +105,28 @@
     Probe(Micros),
 }
 
-/// A peer's actor.
+/// The actor of one peer.
 pub struct Peer {
     id: MemberId,
     address: SocketAddr,
-    /// The number under which the address was told.
+    /// Version of the address.
     told: u64,
     shared: Rc<Shared>,
     mailbox: Receiver<Order>,
-    /// For its connections.
+    /// Sender of the own mailbox, handed to the connections.
     own: Sender<Order>,
     lines: BTreeMap<u64, Line>,
     next_line: u64,
     next_probe: u64,
-    /// When anything was last heard, by any connection.
+    /// When an answer was last received on any connection.
     heard: Micros,
-    /// Running share of answers that came as the end of their connection.
+    /// Moving average: share of connection breaks among answers and breaks.
     breaks: f64,
     retired: bool,
 }
 
 impl Peer {
-    /// Starts an actor; its mailbox.
+    /// Starts an actor and returns its mailbox.
     pub fn start(id: MemberId, address: SocketAddr, shared: &Rc<Shared>) -> Sender<Order> {
         let (own, mailbox) = async_channel::bounded(MAILBOX);
         let peer = Peer {
@@ -140,13 +147,13 @@
         own
     }
 
-    /// As the coordinator and the caches spell it.
+    /// The member's name as the coordinator and the caches write it.
     fn name(&self) -> String {
         format!("s-{:08x}", self.id.0)
     }
 
     async fn run(mut self) {
-        // By the clock, not by quiet: orders that never cease must not put the sweep off.
+        // The sweep is due by the clock and not after an idle moment: a steady flow of messages must not postpone it.
         let sweep_every = SWEEP.min(self.shared.catalogue.idle_close / IDLE_PART).max(SWEEP_LEAST);
         let mut due = clock::now() + sweep_every;
         loop {
@@ -183,7 +190,7 @@
                 }
                 self.told = told;
                 if std::mem::replace(&mut self.address, address) != address {
-                    // Connections to the old address finish what they have and get nothing new.
+                    // Connections to the old address finish their attempts and get no new ones.
                     for attempt in self.close_lines() {
                         self.send(attempt).await;
                     }
@@ -201,10 +208,11 @@
                 }
             }
             Order::Answer(line, frame) => self.answer(line, frame).await,
-            // It has moved to another connection meanwhile, which says what becomes of it.
+            // The attempt has moved to another connection, which reports its end.
             Order::Unwritten(line, attempt) if attempt.line.get() != line => {}
             Order::Unwritten(line, attempt) => {
-                // Its id never stood there: where it is sent anew, this connection, up by now, is the one to take.
+                // Its id was never used on this connection, so a retry may use it; it is established by now and the
+                // best choice.
                 attempt.call.lines.borrow_mut().retain(|stood| *stood != (self.id, line));
                 let own = |s: &Stream| matches!(s, Stream::Attempt(a, _) if a.ticket == attempt.ticket);
                 if let Some(line) = self.lines.get_mut(&line) {
@@ -216,8 +224,8 @@
         }
     }
 
-    /// All connections finish what was written on them and get nothing new. What was not written yet is handed back: it
-    /// would go out, once a slow connection is up, to a process that is gone or another one by then.
+    /// Lets all connections finish the attempts written on them and give them no new ones. Returns the attempts not yet
+    /// written: a connection that is slow to come up would send them to a process that is gone or has been replaced.
     fn close_lines(&mut self) -> Vec<Rc<Attempt>> {
         let mut unwritten = Vec::new();
         for line in self.lines.values_mut() {
@@ -235,7 +243,7 @@
         unwritten
     }
 
-    /// The last of a retired actor: what still lies in its mailbox never ran, and is told so.
+    /// Last step of a retired actor: reports what is left in the mailbox as never sent.
     async fn leave(self) {
         self.mailbox.close();
         while let Ok(order) = self.mailbox.try_recv() {
@@ -251,12 +259,13 @@
         let _ = self.shared.director.send(Message::Ended(end)).await;
     }
 
-    /// A connection that can take this id: an idle one, else a new one while descriptors are plenty and what a
-    /// break is likely to end on a shared one costs more than the handshake, else the least used. Guards
-    /// against one spoilt answer or reset that ends all that shares its connection, and, where handshakes are
-    /// priced, against a fleet that opens one for each request in a busy moment. An id stands once on a
-    /// connection at most, as its answers can't be told apart. One that the peer may be about to close is left to the
-    /// sweep; the more so for what may not be repeated.
+    /// Chooses a connection for an attempt or probe with this id: an idle one; else a new one, while descriptors are
+    /// plenty and the expected loss by a break of a shared connection exceeds the price of a handshake; else the one
+    /// with the fewest streams. Sharing is avoided because one malformed answer or reset ends every attempt on the
+    /// connection. Where handshakes have a price, the comparison keeps a fleet from opening a connection for each
+    /// request in a busy moment. An id is used at most once on a connection, as two answers with the same id can't be
+    /// told apart. A connection that the peer may be about to close is not chosen, with a wider margin for classes that
+    /// may not be repeated.
     fn line_for(&mut self, id: &[u8], attempt: Option<&Attempt>) -> Option<u64> {
         let streams = self.shared.catalogue.streams_per_conn;
         let (now, idle, me) = (clock::now(), self.idle(), self.id);
@@ -374,8 +383,8 @@
             let _ = line.commands.try_send(Command::Plain(resp::command(&[b"never_mind", id])));
             line.crossing.insert(Bytes::copy_from_slice(id), clock::now());
         }
-        // Guards against a machine that is cut off: its connections stay open and say nothing. New work
-        // goes over a new connection, whose failure to come up proves more than silence.
+        // Guards against a machine that is cut off from the network: its connections stay open but silent. New attempts
+        // use a new connection, as a failed connect proves that nothing ran, and silence does not.
         if timed_out && self.heard <= since {
             self.lines.values_mut().for_each(|line| line.silent = true);
         }
@@ -392,9 +401,9 @@
             Err(e) => return self.down(number, &e.into()).await,
         };
         let Some(stream) = line.streams.remove(answer.id) else {
-            // It crossed with its giving up, or nobody asked: a second answer, say. It is nobody's.
+            // The attempt was abandoned while its answer was on the way, or the answer is a duplicate.
             if line.crossing.remove(answer.id).is_none() {
-                tracing::debug!(member = %self.name(), "an answer that nobody waits for, thrown away");
+                tracing::debug!(member = %self.name(), "answer without a pending attempt discarded");
             }
             return;
         };
@@ -404,18 +413,19 @@
                 self.probed(answer.word.status(), elapsed, answer.load).await;
             }
             Stream::Attempt(attempt, _) => {
-                // A write's answer is no copy and has no name.
+                // The answer to a write is not a copy and has no name.
                 let classes = &self.shared.catalogue.settings.classes;
                 let whole = answer.name.is_some() || classes.get(attempt.call.class).is_some_and(|c| c.write);
                 let body = match answer.word {
                     Word::Hit if whole => Some(frame.slice_ref(answer.body)),
-                    // The client's copy is the one only where the cache names that very copy.
+                    // The client's copy is current only if the cache names that same copy.
                     Word::Valid if answer.name.is_some_and(|(tag, _)| attempt.call.holds(tag)) => None,
                     Word::Hit | Word::Valid | Word::Pong | Word::Sick => {
-                        // It ends with the connection.
+                        // Put back, so that the attempt ends together with the connection.
                         let id = Bytes::copy_from_slice(answer.id);
                         line.streams.insert(id, Stream::Attempt(attempt, now));
-                        let e = io::Error::new(io::ErrorKind::InvalidData, "an answer that fits no request");
+                        let e =
+                            io::Error::new(io::ErrorKind::InvalidData, "answer does not match its request");
                         return self.down(number, &e).await;
                     }
                     _ => None,
@@ -428,11 +438,11 @@
         }
     }
 
-    /// A connection is no more. What was not yet written goes over another one if this one had been up;
-    /// what was may have run.
+    /// Handles the end of a connection. Attempts that were written may have run and end as reset. Those not yet written
+    /// move to another connection if this one had been established; else they end as never run.
     async fn down(&mut self, number: u64, why: &io::Error) {
         let Some(line) = self.lines.remove(&number) else { return };
-        // Closed first: what was out on it is given up for certain when its next attempt is decided.
+        // Shut down first: the cache must have lost the attempts on it before the director decides on the next ones.
         if let Some(socket) = &line.socket {
             let _ = socket.get_ref().shutdown(Shutdown::Both);
         }
@@ -454,8 +464,8 @@
                     self.end(End::bare(a.ticket, Status::Reset)).await;
                 }
                 Stream::Attempt(a, _) if line.up => self.send(a).await,
-                // Nothing was written, so nothing ran, whatever the error says; but a want of this machine's own is no
-                // word on the member.
+                // Nothing was written, so nothing ran, whatever the error says. A lack of resources on this machine
+                // says nothing about the member.
                 Stream::Attempt(a, _) => {
                     let status = if is_own_want(why) { Status::Moot } else { Status::ConnectFailed };
                     self.end(End::bare(a.ticket, status)).await;
@@ -464,13 +474,14 @@
         }
     }
 
-    /// Idle connections are closed after so long: a little before the peer does, so that no request crosses its close.
+    /// Idle time after which a connection is closed: less than the peer's idle timeout, so that no request crosses the
+    /// peer's close.
     fn idle(&self) -> Micros {
         let told = self.shared.catalogue.idle_close;
         told - (told / IDLE_PART).max(IDLE_MARGIN).min(told / 2)
     }
 
-    /// Closes what is idle, and what is silent once nothing waits for it.
+    /// Fails probes past their timeout and closes connections without streams that are idle, silent or closing.
     fn sweep(&mut self) {
         let (now, idle) = (clock::now(), self.idle());
         self.lines.retain(|_, line| {
@@ -491,7 +502,7 @@
     }
 }
 
-/// A connection's task.
+/// The task of one connection.
 struct Connection {
     peer: MemberId,
     line: u64,
@@ -511,7 +522,7 @@
     async fn serve(&self) -> Result<std::convert::Infallible, io::Error> {
         let late = async {
             Timer::after(Duration::from_micros(self.shared.catalogue.settings.connect_timeout)).await;
-            Err(io::Error::new(io::ErrorKind::TimedOut, "no connection in time"))
+            Err(io::Error::new(io::ErrorKind::TimedOut, "connect timed out"))
         };
         let stream = Rc::new(future::or(Async::<TcpStream>::connect(self.address), late).await?);
         let _ = stream.get_ref().set_nodelay(true);
@@ -520,7 +531,7 @@
         let classes = &self.shared.catalogue.settings.classes;
         let longest = Duration::from_micros(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
         let read = async {
-            // Nobody waits longer than the longest deadline for the rest of an answer that goes on and on.
+            // No client waits longer than the longest deadline, so an answer that trickles on is cut off then.
             let mut answers = Messages::new(stream, resp::measure, CHUNK).or_stall(STALL).within(longest);
             while let Some(frame) = answers.next().await? {
                 self.actor.send(Order::Answer(self.line, frame)).await.map_err(gone)?;
@@ -549,8 +560,9 @@
 }
 
 impl Connection {
-    /// Writes the first bytes of an attempt: its command, and how much of it is written. The one place where attempts
-    /// are checked, with nothing between the check and the write; a full socket is waited for before it.
+    /// Writes the first bytes of an attempt. Returns its command and the number of bytes written; none if the attempt may
+    /// no longer be sent. This is the one place where attempts are checked before they are sent: nothing may come
+    /// between the check and the write, so a wait for room in the socket is followed by another check.
     async fn begin(
         &self,
         stream: &Async<TcpStream>,
@@ -578,7 +590,7 @@
     }
 }
 
-/// Whether a connection failed for want of something on this machine.
+/// Whether a connect failed for lack of resources on this machine.
 fn is_own_want(why: &io::Error) -> bool {
     let wants = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
     Errno::from_io_error(why).is_some_and(|errno| wants.contains(&errno))
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -1,5 +1,5 @@
-//! What can cross at clients' connections: closes, exits and clients that leave. The bad order is forced: what the
-//! test does between two awaits reaches the kernel before the router gets its turn.
+//! Races at clients' connections between requests, closes, exits and clients that leave. The critical order is forced:
+//! everything that a test does between two awaits reaches the kernel before the router runs again.
 
 mod common;
 
@@ -25,7 +25,7 @@
 const RID: &str = "9b1f03aa5c7e2d41";
 const OTHER: &str = "00000000000000a2";
 const THIRD: &str = "00000000000000a3";
-/// Bytes that a narrow socket is asked to take; the kernel takes twice as many.
+/// Buffer size requested for a socket with small buffers, in bytes; the kernel allocates twice as many.
 const SMALL_BUFFER: usize = 16 * 1024;
 
 fn drain() -> Rc<RefCell<Drain>> {
@@ -34,7 +34,8 @@
     drain
 }
 
-/// Long past its grace, so that whatever owes nothing may go, and what comes is refused: read and answered, not lost.
+/// Starts a drain long past its grace, so that connections that owe nothing may close, and requests that arrive are read
+/// and refused.
 fn drain_long_ago(drain: &Rc<RefCell<Drain>>) {
     drain.borrow_mut().drain(clock::now() - 10 * GRACE);
 }
@@ -47,16 +48,17 @@
     Messages::new(stream, measure, 4096)
 }
 
-/// Lets all tasks run until this holds.
+/// Lets all tasks run until the condition holds.
 async fn until(holds: impl Fn() -> bool) {
     while !holds() {
         Timer::after(Duration::from_millis(1)).await;
     }
 }
 
-/// A close decided while nothing is open meets a request in the socket: it is read and answered first.
+/// A close is decided while no request is open, and a request already lies in the socket: it must be read and answered
+/// before the close.
 #[test]
-fn a_request_in_the_socket_goes_before_the_close() {
+fn a_request_in_the_socket_is_answered_before_the_close() {
     run(async |tasks| {
         let (world, drain) = (World::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
@@ -67,7 +69,7 @@
         port.answer(seq, Verdict::Served(Bytes::from_static(b"a")));
         assert_eq!(read.next().await.unwrap().unwrap(), served(1, b"a"));
         drain_long_ago(&drain);
-        // Both at once: the close is asked for, and the request lies in the socket.
+        // At the same time a close is asked for and a request lies in the socket.
         client.get_ref().write_all(&serve(2, &page(OTHER), b"")).unwrap();
         front.let_go();
         let answer = read.next().await.unwrap().expect("an answer before the end");
@@ -76,10 +78,10 @@
     });
 }
 
-/// What comes after the shutdown is thrown away, never sent on, and resets nothing: the answer before it stays whole,
-/// and the client reads the end of the stream.
+/// Requests that arrive after the shutdown of the connection are discarded. They must neither reach the director nor
+/// reset the connection: the client reads the whole earlier answer and then the end of the stream.
 #[test]
-fn what_comes_after_the_shutdown_is_thrown_away_without_a_reset() {
+fn requests_after_the_shutdown_are_discarded_without_a_reset() {
     run(async |tasks| {
         let (world, drain) = (World::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
@@ -88,7 +90,7 @@
         let (port, seq, _) = world.request().await;
         drain_long_ago(&drain);
         port.answer(seq, Verdict::Served(Bytes::from(vec![7; 100_000])));
-        // Its last answer written, the connection closes; the client has read nothing yet.
+        // The connection closes after its last answer; the client has read nothing yet.
         until(|| front.held().0 == 0).await;
         for seq in 2..40 {
             let rid = format!("{seq:016x}");
@@ -109,10 +111,11 @@
     });
 }
 
-/// Half a message behind an open request ends the connection after a while, as it does without one; meanwhile and after
-/// it others are served: a time that is over must not be waited for again and again.
+/// Half a message behind an open request ends the connection after the timeout, as it does without an open request.
+/// Guards against a reader that waits for a timeout that has already passed and so spins, which would keep other clients
+/// from being served.
 #[test]
-fn half_a_message_behind_an_open_request_ends_its_connection_alone() {
+fn half_a_message_behind_an_open_request_ends_only_its_own_connection() {
     run(async |tasks| {
         let (world, drain) = (World::new(tasks, 9), drain());
         let (_front, address) = world.front(tasks, &drain).await;
@@ -130,9 +133,9 @@
     });
 }
 
-/// A client that never closes its side holds a closed connection for a bounded time only.
+/// A client that never closes its side keeps a closed connection for a bounded time only.
 #[test]
-fn a_closed_connection_does_not_wait_for_its_client_for_ever() {
+fn a_closed_connection_waits_for_its_client_for_a_bounded_time() {
     run(async |tasks| {
         let (world, drain) = (World::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
@@ -146,9 +149,10 @@
     });
 }
 
-/// A connection that was closed before SIGTERM, and that its client holds on to, keeps no process until SIGKILL.
+/// A connection that was closed before SIGTERM, and whose client does not close it, must not keep the process running
+/// until SIGKILL.
 #[test]
-fn the_exit_lets_go_of_closed_connections_before_the_kill() {
+fn the_exit_abandons_closed_connections_before_the_kill() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let drain = Rc::new(RefCell::new(Drain::new().with_longest(0)));
@@ -160,7 +164,7 @@
         front.let_go();
         assert_eq!(client.next().await, None);
         front.stop_accepting();
-        // SIGTERM was so long ago that SIGKILL may come.
+        // SIGTERM came long enough ago for SIGKILL to be due.
         drain.borrow_mut().end(clock::now() - 2 * LINGER);
         let usual = async {
             Timer::after(Duration::from_secs(1)).await;
@@ -176,7 +180,7 @@
     });
 }
 
-/// The exit waits for a request that was read and lies before a full mailbox of the director.
+/// The exit waits for a request that was read and could not be passed on yet, as the director's mailbox is full.
 #[test]
 fn the_exit_waits_for_a_request_that_waits_for_the_director() {
     run(async |tasks| {
@@ -193,7 +197,7 @@
         drain_long_ago(&drain);
         front.stop_accepting();
         front.let_go();
-        // No answer is owed by the director, none waits to be written; and yet it is not settled.
+        // The director owes no answer and none waits to be written, but the request is not finished.
         until(|| !world.ends.is_empty()).await;
         for _ in 0..100 {
             future::yield_now().await;
@@ -210,21 +214,21 @@
     });
 }
 
-/// The exit waits for connections in the accept queue, with a request in the kernel: taken is what was written to a
-/// connection that the machine has accepted.
+/// The exit waits for connections in the accept queue whose request is in the kernel's buffer: a request counts as taken
+/// as soon as the machine has accepted its connection.
 #[test]
-fn the_exit_waits_for_what_lies_in_the_accept_queue() {
+fn the_exit_waits_for_connections_in_the_accept_queue() {
     run(async |tasks| {
         let (world, drain) = (World::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         future::yield_now().await;
         drain_long_ago(&drain);
-        // All of it before the router gets its turn again.
+        // All of this happens before the router runs again.
         let mut client = TcpStream::connect(address).unwrap();
         client.write_all(&serve(1, &page(RID), b"")).unwrap();
         front.stop_accepting();
         assert!(!front.settled(), "a listener with a queue");
-        // Within the time after SIGTERM in which all that comes is taken.
+        // Within the time after SIGTERM in which all requests are taken.
         drain.borrow_mut().end(clock::now());
         let (port, seq, _) = world.request().await;
         assert!(!front.settled());
@@ -235,25 +239,25 @@
         assert_eq!(all, thrift::broken(1));
         drop(client);
         until(|| front.settled()).await;
-        assert!(TcpStream::connect(address).is_err(), "and then nobody is accepted");
+        assert!(TcpStream::connect(address).is_err(), "no connection is accepted afterwards");
     });
 }
 
-/// A client whose socket takes little that it has not read.
-async fn narrow_client(address: SocketAddr) -> Async<TcpStream> {
+/// A client whose socket has a small receive buffer.
+async fn small_buffer_client(address: SocketAddr) -> Async<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP)).unwrap();
-    // Before the handshake: it is then that the window is agreed on.
+    // Set before the TCP handshake, which negotiates the window.
     socket.set_recv_buffer_size(SMALL_BUFFER).unwrap();
     socket.connect(&address.into()).unwrap();
     Async::new(socket.into()).unwrap()
 }
 
-/// A reply of the reader's own (`isWell`, a method that is not there) counts until it is written. Forced: the replies
-/// are more bytes than both sockets take while the client reads nothing, and the reader has read all that was sent.
+/// Replies that the reader gives itself (to `isWell` or an unknown method) count as owed until they are written. Forced by
+/// more bytes of replies than both sockets hold while the client reads nothing; the reader has read all that was sent.
 #[test]
-fn the_exit_waits_for_a_reply_that_needed_no_decision() {
-    // A reply about a method that is not there repeats its name. All fit into the reader's queue, which it never
-    // waits for, so that a close would reach it.
+fn the_exit_waits_for_replies_that_need_no_decision() {
+    // The reply to an unknown method repeats its name. All replies fit into the reader's queue, so that the reader never
+    // waits for room and a close would reach it.
     const LONG_REPLIES: i32 = 12;
     const _: () = assert!((LONG_REPLIES as usize) < MOST_OPEN);
     const LONGEST_SEGMENT: usize = 65_536;
@@ -264,7 +268,7 @@
         SockRef::from(&listener).set_send_buffer_size(SMALL_BUFFER).unwrap();
         let buffer = SockRef::from(&listener).send_buffer_size().unwrap();
         let front = world.front_at(tasks, &drain, listener);
-        let client = narrow_client(address).await;
+        let client = small_buffer_client(address).await;
         let buffers = buffer + SockRef::from(&client).recv_buffer_size().unwrap();
         let mut replies = Vec::new();
         for seq in 1..=LONG_REPLIES {
@@ -275,7 +279,7 @@
         let well = LONG_REPLIES + 1;
         (&client).write_all(&call(1, "isWell", well, &[2, 0, 1, 0, 0])).await.unwrap();
         replies.extend(thrift::answer("isWell", well, 0, &[], true).concat());
-        // Read last, so all before it was read; dropped, nothing is owed for it.
+        // This request is read last, so everything before it has been read; it is dropped, so that it owes no answer.
         (&client).write_all(&serve(well + 1, &page(RID), b"")).await.unwrap();
         let (port, ..) = world.request().await;
         port.drop_request();
@@ -295,10 +299,10 @@
     });
 }
 
-/// Whether a client has left is seen on the socket itself, before its reader had a turn: also behind bytes that
-/// nobody has read, and where the connection was reset.
+/// Whether a client has left is detected on the socket itself, before its reader task runs: also when the close is behind
+/// unread bytes, and when the connection was reset.
 #[test]
-fn a_client_that_left_is_seen_before_its_reader_is() {
+fn a_client_that_left_is_detected_before_its_reader_runs() {
     run(async |tasks| {
         let (world, drain) = (World::new(tasks, 9), drain());
         let (_front, address) = world.front(tasks, &drain).await;
@@ -329,8 +333,8 @@
     });
 }
 
-/// Where settings allow no cancelling, too: nothing more is sent for a client that left, neither a further attempt
-/// after an error nor one that waited.
+/// Nothing more is sent for a client that has left, neither another attempt after an error nor one that was waiting; also
+/// where the settings allow no cancelling.
 #[test]
 fn no_further_attempt_goes_out_for_a_client_that_left() {
     for cancelling in [false, true] {
@@ -349,7 +353,7 @@
             client.send(&serve(1, &page(RID), b"")).await;
             let next = || future::or(one.next(), two.next());
             let (_, line) = next().await;
-            // The client goes and the cache fails in one moment: the error is read with the client's end.
+            // The client leaves and the cache fails at the same time: the error is read together with the client's end.
             client.hang_up();
             let fault = silverspindle::resp::command(&[RID.as_bytes(), b"FAULT", b"-", b""]);
             line.get_ref().write_all(&fault).unwrap();
@@ -365,9 +369,10 @@
     }
 }
 
-/// A flood that goes away: what came is taken, the rest refused, and nothing is sent for it once its client has gone.
+/// A client sends a flood of requests and leaves: nothing is sent to caches for a client that has left, whether its
+/// requests were taken or refused.
 #[test]
-fn a_flood_that_goes_away_costs_the_caches_nothing() {
+fn a_flood_of_a_client_that_left_costs_the_caches_nothing() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -378,7 +383,7 @@
             (fields[1].1, fields[3].1) = (&rid, &object);
             flood.write_all(&serve(seq, &fields, b"")).unwrap();
         }
-        // All of it lies in the kernel, with the end behind it, before the router has accepted.
+        // All requests and the client's close are in the kernel's buffer before the router accepts.
         flood.shutdown(Shutdown::Write).unwrap();
         let client = Client::connect(tasks, router.address).await;
         client.send(&serve(1, &page(OTHER), b"")).await;
@@ -391,17 +396,17 @@
     });
 }
 
-/// Idle clients that take all descriptors, while discovery is down: the list is followed as soon as it is back, a new
-/// client's request is taken, and room is made without a spin.
+/// Idle clients take all descriptors while the coordinator is down. The router must follow the list as soon as the
+/// coordinator is back, take a new client's request, and make room without a busy loop.
 #[test]
-fn idle_clients_keep_neither_discovery_nor_new_clients_out() {
+fn idle_clients_block_neither_the_coordinator_nor_new_clients() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, coordinator) = small_router(tasks, &[cache.address], 64);
         let address = coordinator.get_ref().local_addr().unwrap();
         drop(coordinator.accept().await.unwrap());
         drop(coordinator);
-        // Half of them say nothing at all, half have asked once; all hold on.
+        // Half of them send nothing at all, half have sent one message; all stay connected.
         let mut held = Vec::new();
         for n in 0..200 {
             let client = Async::<TcpStream>::connect(router.address).await.unwrap();
@@ -430,10 +435,10 @@
     });
 }
 
-/// An answer that comes late in a drain, and the look at who does not read, in one moment: the client has had no time to take
-/// it, however long ago it last took anything.
+/// Late in a drain, an answer becomes ready just when the drain checks for clients that do not read. The client has had
+/// no time to read it and must not be cut off, however long ago it last read anything.
 #[test]
-fn an_answer_that_has_just_come_is_not_cut_off_for_want_of_a_reader() {
+fn a_client_is_not_cut_off_for_an_answer_that_has_just_become_ready() {
     run(async |tasks| {
         let (world, drain) = (World::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
@@ -443,7 +448,7 @@
         let (port, seq, _) = world.request().await;
         drain_long_ago(&drain);
         port.answer(seq, Verdict::Served(Bytes::from_static(b"late")));
-        // Before the writer has had its turn.
+        // Before the writer runs.
         front.let_go();
         assert_eq!(read.next().await.unwrap().expect("an answer"), served(1, b"late"));
         assert_eq!(read.next().await.unwrap(), None, "then it closes");
--- a/silverspindle/tests/crossing_peers.rs
+++ b/silverspindle/tests/crossing_peers.rs
@@ -1,6 +1,6 @@
-//! What can cross at peers' connections: attempts that wait, spoilt answers, idle closes, members that go and come back.
-//! The bad order is forced by gates: a full accept queue is a connection that comes up late, a cache that does not read
-//! is a full socket, a thread that sleeps keeps every actor from its turn.
+//! Races at members' connections: waiting attempts, malformed answers, idle closes, members that leave and return.
+//! The critical order is forced: a full accept queue delays the establishment of a connection, a cache that does not read
+//! fills the socket, and a sleeping thread keeps every actor from running.
 
 mod common;
 
@@ -23,7 +23,7 @@
 const RID: &str = "9b1f03aa5c7e2d41";
 const OTHER: &str = "00000000000000a2";
 
-/// A listener whose connections come up only once it is opened: its accept queue is full.
+/// A listener with a full accept queue: connections to it are established only after it is opened.
 struct Gate {
     listener: TcpListener,
     filler: Vec<std::net::TcpStream>,
@@ -45,7 +45,7 @@
         Self { listener, filler, address }
     }
 
-    /// Takes the fillers out; the next connection is the router's.
+    /// Accepts the connections that fill the queue; the next one is the router's.
     async fn open(self) -> Async<std::net::TcpStream> {
         for _ in &self.filler {
             self.listener.accept().unwrap();
@@ -60,7 +60,7 @@
     options
 }
 
-/// Whether anything comes by this connection before it ends or so much time has passed.
+/// Whether nothing arrives on this connection until it ends or 300 ms have passed.
 async fn reads_nothing(line: &Async<std::net::TcpStream>) -> bool {
     let mut line = line;
     let read = async { line.read(&mut [0]).await.unwrap_or(0) == 0 };
@@ -71,10 +71,10 @@
     .await
 }
 
-/// While its connection comes up, all may happen to an attempt: its client leaves, its request has its answer, the window
-/// of repeats or its time ends, it is given up. It is not written then.
+/// While an attempt waits for its connection to be established, its client may leave, its request may get its answer, its
+/// source may become unusable, or the attempt may be abandoned. It must not be written then.
 #[test]
-fn what_was_overtaken_while_its_connection_came_up_is_never_written() {
+fn an_attempt_that_became_obsolete_while_connecting_is_never_written() {
     let overtake: [fn(&World, &Attempt); 4] = [
         |world, _| world.client.gone.set(true),
         |_, attempt| attempt.call.over.set(true),
@@ -99,7 +99,8 @@
     }
 }
 
-/// The window in which a request may be repeated is held where the repeat is written: its connection came up too late.
+/// The window in which a request may be repeated is checked when the repeat is written: here its connection is
+/// established too late.
 #[test]
 fn a_repeat_is_not_written_after_its_window() {
     run(async |tasks| {
@@ -115,10 +116,10 @@
     });
 }
 
-/// The same by the director: a write that may have run goes to another cache, whose connection is up only after the
-/// window. The client hears at once, and the second cache reads nothing.
+/// The same with the director: a write that may have run is repeated on another cache, whose connection is established
+/// only after the window. The client gets its answer at once, and the second cache receives nothing.
 #[test]
-fn the_director_holds_a_repeat_to_its_window() {
+fn the_director_keeps_a_repeat_within_its_window() {
     run(async |tasks| {
         let (one, gate) = (Cache::start(tasks), Gate::closed());
         let (_coordinator, address) = listen();
@@ -131,7 +132,7 @@
         let router =
             silverspindle::serve::Router::start(config(&file).unwrap(), Default::default(), tasks).unwrap();
         let client = Client::connect(tasks, router.address).await;
-        // Some objects belong to the first cache by their hash: one that reaches it is reset there.
+        // Some objects belong to the first cache by their hash; the first one that reaches it fails there.
         let mut seq = 0;
         let line = loop {
             seq += 1;
@@ -151,7 +152,7 @@
             client.send(&forget(seq)).await;
         };
         reply(&line, &[&format!("{seq:016x}"), "FAULT", "-", ""]).await;
-        // Its repeat is decided within the window and waits for the second cache, until the window is over.
+        // The repeat is decided within the window and waits for the second cache until the window has ended.
         Timer::after(Duration::from_millis(600)).await;
         let line = gate.open().await;
         assert!(reads_nothing(&line).await, "a repeat after its window");
@@ -160,10 +161,10 @@
     });
 }
 
-/// What is booked on a cold member is written soon or decided anew: its connection came up late, when others' bookings
-/// may have taken the member's budget. With one try it is refused then; with more it goes on that same connection.
+/// An attempt at a cold member is written soon or decided again: if its connection is established late, other attempts
+/// may have taken the member's budget. With one try the request is refused then; with more it is sent on that connection.
 #[test]
-fn what_was_booked_on_a_cold_member_is_not_written_late() {
+fn an_attempt_at_a_cold_member_is_not_written_late() {
     for tries in [1, 8] {
         run(async |tasks| {
             let (gate, (_coordinator, address)) = (Gate::closed(), listen());
@@ -193,7 +194,8 @@
     }
 }
 
-/// A connection that was on its way to an address takes nothing to it once the member listens elsewhere.
+/// A connection that is still being established to a member's old address gets nothing to send once the member has a new
+/// address.
 #[test]
 fn an_attempt_follows_its_member_to_a_new_address() {
     run(async |tasks| {
@@ -203,7 +205,7 @@
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
         Timer::after(Duration::from_millis(20)).await;
         peer.send(Order::Address(world.cache.address, 5)).await.unwrap();
-        // Told before, and late: it overrules nothing.
+        // An older version that arrives late is ignored.
         peer.send(Order::Address(gate.address, 4)).await.unwrap();
         let (want, line) = world.cache.next().await;
         assert_eq!(want[1], RID);
@@ -214,9 +216,10 @@
     });
 }
 
-/// A retired actor tells the end of all that was not written, on its connections and in its mailbox, and ends.
+/// A retired actor reports the end of every attempt that was not written, on its connections and in its mailbox, and then
+/// ends.
 #[test]
-fn a_retired_peer_tells_every_end() {
+fn a_retired_peer_reports_the_end_of_every_attempt() {
     run(async |tasks| {
         let world = World::with(tasks, 9, &slow_dials());
         let gate = Gate::closed();
@@ -233,10 +236,10 @@
     });
 }
 
-/// What is given up on a member that has gone is told to it, and its connection is closed: a cache that hangs as it
-/// goes would hold a descriptor for ever.
+/// Abandoning an attempt is sent to a member that has left the list, and its connection is then closed: a cache that hangs
+/// while it shuts down would otherwise hold a descriptor for ever.
 #[test]
-fn what_is_given_up_reaches_a_member_that_has_gone() {
+fn abandoned_attempts_reach_a_member_that_has_left() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, coordinator) = router(tasks, &[cache.address]);
@@ -245,7 +248,7 @@
         cache.next().await;
         let mut feed = coordinator.accept().await.unwrap().0;
         feed.write_all(&event(2, 2, &record(1, 2, cache.address))).await.unwrap();
-        // With no cache left all is refused, once that is known.
+        // Without a cache all requests are refused, once the router has learned of it.
         for seq in 2.. {
             let rid = format!("{seq:016x}");
             let mut fields: Vec<(&str, &str)> = page(RID);
@@ -266,9 +269,10 @@
     });
 }
 
-/// An id never stands twice on a connection, so that a second answer to an attempt is not taken for the next one's.
+/// An id is never used twice on a connection, so that a duplicate answer to an attempt can't be taken for the answer to
+/// the next attempt.
 #[test]
-fn a_second_answer_is_not_taken_for_the_next_attempts() {
+fn a_duplicate_answer_is_not_taken_for_the_next_attempts_answer() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -280,7 +284,7 @@
         assert_eq!(again[1], RID);
         assert_ne!(port(&first), port(&second));
         reply(&first, &[RID, "HIT", NAMED, "spoilt"]).await;
-        // Another request's answer behind it proves that it was read.
+        // The answer to another request, sent after it, proves that it was read.
         client.send(&serve(2, &page(OTHER), b"")).await;
         let (_, line) = cache.next().await;
         reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
@@ -290,7 +294,7 @@
     });
 }
 
-/// A client's copy is the one only where the cache names that very copy.
+/// A client's copy counts as current only if the cache names that same copy.
 #[test]
 fn a_copy_is_current_only_if_the_cache_named_it() {
     run(async |tasks| {
@@ -309,9 +313,10 @@
     });
 }
 
-/// An answer that trickles on without an end never stalls; its connection ends when nobody can wait for it any more.
+/// An answer that trickles without an end never reaches the stall timeout. Its connection ends after the longest
+/// deadline, when no client can be waiting for it.
 #[test]
-fn an_answer_that_never_ends_ends_its_connection() {
+fn an_answer_that_never_ends_closes_its_connection() {
     run(async |tasks| {
         let mut options = settings();
         for class in options["classes"].as_array_mut().unwrap() {
@@ -337,7 +342,7 @@
     });
 }
 
-/// A connection that its peer may be about to close is not chosen, also before the sweep has come round to it.
+/// A connection that its peer may be about to close is not chosen, even before the sweep has closed it.
 #[test]
 fn a_connection_near_its_idle_close_is_not_chosen() {
     run(async |tasks| {
@@ -349,7 +354,7 @@
         let (_, one) = world.cache.next().await;
         reply(&one, &[RID, "NONE", "-", ""]).await;
         assert_eq!(world.end().await, (1, Status::Miss));
-        // Nobody gets a turn meanwhile, the sweep neither; the attempt lies before the actor when it does.
+        // No task runs meanwhile, nor does the sweep; the attempt is in the mailbox when the actor runs again.
         std::thread::sleep(Duration::from_millis(400));
         peer.try_send(Order::Send(world.attempt(2, OTHER))).unwrap();
         let (_, two) = world.cache.next().await;
@@ -357,10 +362,10 @@
     });
 }
 
-/// What waits behind a full socket is checked when its first byte can be written, not before; what was given up
-/// meanwhile is never written, and what is left goes out whole.
+/// Attempts that wait behind a full socket are checked when their first byte can be written, not before. Those abandoned
+/// meanwhile are never written, and the rest are written completely.
 #[test]
-fn what_waits_behind_a_full_socket_is_checked_as_it_is_written() {
+fn attempts_behind_a_full_socket_are_checked_when_they_are_written() {
     run(async |tasks| {
         let (listener, address) = listen();
         let world = World::new(tasks, 1);
@@ -370,7 +375,7 @@
             Rc::get_mut(&mut attempt.call).unwrap().body = Bytes::from(vec![b'x'; size]);
             Rc::new(attempt)
         };
-        // One connection that nobody reads, and far more than both sockets hold.
+        // One connection that the cache does not read, and far more bytes than both sockets hold.
         let big = write(1, 16_000_000);
         peer.send(Order::Send(big.clone())).await.unwrap();
         let (line, _) = listener.accept().await.unwrap();
@@ -400,10 +405,10 @@
     });
 }
 
-/// A connection that brought what can't be read is closed before its ends are told: what was out on it is given up when
-/// the next attempt is decided, as where one may be out at a time it must be.
+/// A connection with a malformed answer is closed before the ends of its attempts are reported. Where only one attempt of
+/// a request may be in flight at a time, the earlier one must be lost for certain when the next one is decided.
 #[test]
-fn a_spoilt_connection_is_closed_before_its_ends_are_told() {
+fn a_connection_with_a_malformed_answer_is_closed_before_its_ends_are_reported() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let peer = world.peer();
@@ -411,7 +416,7 @@
         let (_, line) = world.cache.next().await;
         reply(&line, &[RID, "PONG", "-", ""]).await;
         assert_eq!(world.end().await, (1, Status::Reset));
-        // No other task has had a turn since the end was told.
+        // No other task has run since the end was reported.
         let mut byte = [0];
         let closed = matches!(line.get_ref().peek(&mut byte), Ok(0) | Err(_))
             && !matches!(line.get_ref().peek(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
@@ -419,10 +424,10 @@
     });
 }
 
-/// An attempt that a connection may not write, and that has moved to another connection and been written there before the
-/// actor hears so: it may have run, and only its answer ends it.
+/// A connection may not write an attempt, and before the actor learns of it the attempt has moved to another connection and
+/// was written there. It may have run, so only its answer ends it.
 #[test]
-fn what_was_forbidden_on_one_connection_and_written_on_another_is_not_told_as_never_sent() {
+fn an_attempt_not_written_on_one_connection_but_on_another_is_not_reported_as_never_sent() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let peer = world.peer();
