--- a/silverspindle/tests/actors.rs
+++ b/silverspindle/tests/actors.rs
@@ -1,4 +1,4 @@
-//! Single actors: a peer before a scripted cache, and the front with the test as director.
+//! Tests of single actors: a peer's actor connected to a scripted cache, and the front with the test as its director.
 
 mod common;
 
@@ -19,12 +19,12 @@
 use silverspindle::upstream::Order;
 
 #[test]
-fn orders_for_a_fill_are_spelt_out() {
+fn a_request_to_a_cache_names_the_fill_options() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         world.peer().send(Order::Send(world.attempt(1, "00000000000000a1"))).await.unwrap();
         let (want, _) = world.cache.next().await;
-        // An age under a millisecond must not become 0, which would mean the fresh time.
+        // An age below one millisecond must not become 0, which would mean the class's fresh time.
         for (name, value) in [
             ("fetch", "s-00000002"),
             ("retain", "2"),
@@ -36,10 +36,10 @@
     });
 }
 
-/// Guards against what waited while its cache or its source was drained or its object purged: at the moment
-/// of writing it ends as never sent, and the cache never sees it.
+/// An attempt waits while its cache or its source is drained or its object is purged. It must end as never sent when it is
+/// about to be written, and must not reach the cache.
 #[test]
-fn what_was_overtaken_by_news_is_never_sent() {
+fn an_attempt_made_obsolete_by_a_drain_or_purge_is_never_sent() {
     let news: [fn(&Board); 4] = [
         |board| board.set_ready(PEER, false),
         |board| board.set_ready(SOURCE, false),
@@ -54,17 +54,17 @@
             tell(&world.shared.board);
             assert_eq!(world.end().await, (1, Status::Moot));
             [PEER, SOURCE].into_iter().for_each(|id| world.shared.board.set_ready(id, true));
-            // A decision made after the news goes out, as the first thing the cache reads.
+            // An attempt decided after the drain or purge is sent, and is the first thing that the cache reads.
             peer.try_send(Order::Send(world.attempt(2, "00000000000000a2"))).unwrap();
             assert_eq!(world.cache.next().await.0[1], "00000000000000a2");
         });
     }
 }
 
-/// Guards against answers that can't be told apart: an id stands once on a connection, also for a while
-/// after it was given up there.
+/// An id is used only once on a connection, and not again for a while after its attempt was abandoned there: two answers
+/// with the same id could not be told apart.
 #[test]
-fn an_id_stands_once_on_a_connection() {
+fn an_id_is_used_once_on_a_connection() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let peer = world.peer();
@@ -80,17 +80,17 @@
         let (_, three) = world.cache.next().await;
         let ports: std::collections::BTreeSet<u16> = [&one, &two, &three].iter().map(|s| port(s)).collect();
         assert_eq!(ports.len(), 3);
-        // An answer that crossed with its giving up ends nobody else's attempt.
+        // A late answer to an abandoned attempt ends no other attempt.
         reply(&one, &["00000000000000a1", "HIT", NAMED, "old"]).await;
         reply(&two, &["00000000000000a1", "SHED", "-", ""]).await;
         assert_eq!(world.end().await, (2, Status::Full));
     });
 }
 
-/// Guards against one spoilt answer that ends all that is out: while descriptors are plenty, what is out at a
-/// time has connections of its own, and idle ones are used again.
+/// While descriptors are plenty, attempts in flight at the same time use separate connections, and idle connections are
+/// reused. Guards against one malformed answer that ends all attempts in flight.
 #[test]
-fn what_is_out_together_is_spread_over_connections() {
+fn concurrent_attempts_use_separate_connections() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let peer = world.peer();
@@ -110,10 +110,10 @@
     });
 }
 
-/// Guards against a fleet that opens a connection for each request in a busy moment, where handshakes are
-/// priced: what is out shares one, until it breaks so often that a shared one loses more than that.
+/// Where handshakes have a price, concurrent attempts share a connection until connections break so often that sharing
+/// loses more than a handshake costs. Guards against a fleet that opens a connection for each request in a busy moment.
 #[test]
-fn priced_handshakes_are_spared_until_connections_break() {
+fn connections_are_shared_where_handshakes_have_a_price_until_they_break() {
     run(async |tasks| {
         let mut options = settings();
         options["deductions"] = serde_json::json!({"handshake": 0.08});
@@ -129,7 +129,7 @@
             }
             lines
         };
-        // Two out at a time end with one break: after two breaks the third pair has connections of its own.
+        // Each break ends two attempts; after two breaks the third pair uses separate connections.
         for shared in [true, true, false] {
             let lines = pair().await;
             assert_eq!(port(&lines[0]) == port(&lines[1]), shared);
@@ -143,14 +143,14 @@
 }
 
 #[test]
-fn a_connection_carries_so_many_streams_and_descriptors_are_kept() {
+fn streams_per_connection_and_descriptors_are_limited() {
     run(async |tasks| {
         let world = World::new(tasks, 1);
         let peer = world.peer();
         for ticket in 0..33 {
             peer.send(Order::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
         }
-        // The one descriptor's connection is full: the last attempt was never sent.
+        // The connection of the only descriptor is full, so the last attempt ends as never sent.
         assert_eq!(world.end().await, (32, Status::Moot));
         for _ in 0..32 {
             world.cache.next().await;
@@ -158,10 +158,10 @@
     });
 }
 
-/// Guards against a machine that is cut off: its connections stay open and silent, so new work takes a new
-/// one, whose failure to come up proves that nothing ran.
+/// A machine that is cut off from the network leaves its connections open and silent. After a timeout, new attempts must
+/// use a new connection, as a failed connect proves that nothing ran.
 #[test]
-fn after_silence_work_takes_a_new_connection() {
+fn after_silence_new_attempts_use_a_new_connection() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let peer = world.peer();
@@ -183,9 +183,9 @@
     });
 }
 
-/// Guards against traffic that puts off the closing of idle connections for ever.
+/// Guards against steady traffic on one connection that postpones the closing of idle ones for ever.
 #[test]
-fn an_idle_connection_is_closed_beside_a_busy_one() {
+fn an_idle_connection_is_closed_while_another_is_busy() {
     run(async |tasks| {
         let mut options = settings();
         options["limits"]["idle_close_ms"] = serde_json::json!(500.0);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn each_answer_is_its_proof() {
+fn each_answer_word_ends_the_attempt_with_its_status() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let peer = world.peer();
@@ -228,7 +228,7 @@
     });
 }
 
-/// Guards the memory against slow readers: who holds most of what waits is cut off, others are not.
+/// Guards the memory against slow readers: the client with the most unwritten bytes is cut off, others are not.
 #[test]
 fn a_slow_reader_is_cut_off() {
     run(async |tasks| {
@@ -255,10 +255,10 @@
     });
 }
 
-/// Guards drains and ends against a client that asks for more than it reads: what waits for it is bounded by what it can
-/// take in their time, and the rest is refused as never run.
+/// A client requests more than it reads. The answers that wait for it are limited to what it can read in the time of a
+/// drain or a shutdown, and its further requests are refused as never run.
 #[test]
-fn a_client_with_much_to_take_is_refused_more() {
+fn a_client_with_many_unread_answers_is_refused() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let (front, address) = world.front(tasks, &Rc::default()).await;
@@ -271,7 +271,7 @@
         };
         let body = Bytes::from(vec![7; 240_000]);
         let mut seq = 0;
-        // It reads nothing: at some answer the kernel takes no more, and from then on they wait here.
+        // The client reads nothing: at some point the kernel takes no more bytes, and answers wait in the process.
         while front.backlog() < 1_500_000 {
             seq += 1;
             ask(seq);
@@ -290,13 +290,13 @@
         assert_eq!(all.len(), seq as usize * served(1, &body).len() + refused.len());
         ask(seq + 2);
         let (_, again, _) = world.request().await;
-        assert_eq!(again, seq + 2, "taken again once it has read");
+        assert_eq!(again, seq + 2, "accepted again once the client has read");
     });
 }
 
-/// Guards the memory against many writes at once: past the bound one is refused, which harms nothing.
+/// Guards the memory against many concurrent writes: over the limit a write is refused, which is safe as nothing has run.
 #[test]
-fn writes_past_the_memory_are_refused() {
+fn writes_over_the_memory_limit_are_refused() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let (listener, address) = listen();
@@ -327,8 +327,7 @@
     });
 }
 
-/// Guards against a client that opens more requests than it may: what is too many is refused, and a `forget`
-/// behind them is read all the same.
+/// A client opens more requests than allowed: those over the limit are refused, and a `forget` behind them is still read.
 #[test]
 fn too_many_requests_are_refused_and_a_forget_behind_them_is_read() {
     run(async |tasks| {
--- a/silverspindle/tests/crossing_lists.rs
+++ b/silverspindle/tests/crossing_lists.rs
@@ -1,4 +1,4 @@
-//! What can cross at the list of members and purges: gaps, silence, breaks, moves.
+//! Following the list of members and purges through gaps, silence, broken connections and a move of the coordinator.
 
 mod common;
 
@@ -17,7 +17,7 @@
     moves: async_channel::Sender<SocketAddr>,
 }
 
-/// The list's actor, which knows event 1, before a scripted coordinator.
+/// The actor that follows the list, with event 1 known, connected to a scripted coordinator.
 fn feed(tasks: &Tasks) -> Feed {
     let (listener, address) = listen();
     let (tell, news) = async_channel::bounded(64);
@@ -27,7 +27,7 @@
     Feed { listener, news, moves }
 }
 
-/// The next connection and the last event that it names.
+/// The next connection, and the number of the last known event that it sends.
 async fn asked(listener: &Async<std::net::TcpListener>) -> (Async<std::net::TcpStream>, u64) {
     let mut stream = listener.accept().await.unwrap().0;
     let mut last = [0; 8];
@@ -49,10 +49,10 @@
     }
 }
 
-/// A gap in the numbers is asked for again, not skipped: a drain may be in it. One that comes again is the coordinator's
-/// last word, and following goes on.
+/// The events of a gap in the numbers are requested again and not skipped, as a drain may be among them. If the same gap
+/// comes again, the coordinator no longer has these events, and following goes on behind the gap.
 #[test]
-fn a_gap_is_asked_for_again_and_believed_the_second_time() {
+fn a_gap_is_requested_again_and_accepted_the_second_time() {
     run(async |tasks| {
         let feed = feed(tasks);
         let (mut stream, last) = asked(&feed.listener).await;
@@ -60,7 +60,7 @@
         stream.write_all(&purge(3)).await.unwrap();
         let (mut stream, last) = asked(&feed.listener).await;
         assert_eq!(last, 1, "from the last that is known");
-        assert!(feed.news.is_empty(), "nothing is told out of its turn");
+        assert!(feed.news.is_empty(), "no event is delivered out of order");
         stream.write_all(&[purge(2), purge(3), purge(6)].concat()).await.unwrap();
         assert_eq!((purged(&feed).await, purged(&feed).await), (2, 3));
         let (mut stream, last) = asked(&feed.listener).await;
@@ -70,10 +70,10 @@
     });
 }
 
-/// A watch that falls silent as soon as it is open is left for another, again and again, without a spin; what is told
-/// meanwhile comes with the first one that speaks.
+/// A connection to the coordinator that is silent from its start is replaced by another, repeatedly and without a busy
+/// loop. Events from meanwhile arrive on the first connection that is not silent.
 #[test]
-fn watches_that_fall_silent_at_once_are_left() {
+fn connections_that_are_silent_from_the_start_are_replaced() {
     run(async |tasks| {
         let feed = feed(tasks);
         let (_one, _) = asked(&feed.listener).await;
@@ -85,25 +85,25 @@
     });
 }
 
-/// A watch that breaks on each connect is tried again, more slowly from try to try.
+/// A connection to the coordinator that breaks after every connect is retried with a growing delay.
 #[test]
-fn a_watch_that_breaks_on_each_connect_is_no_spin() {
+fn a_connection_that_breaks_after_every_connect_is_retried_with_backoff() {
     run(async |tasks| {
         let feed = feed(tasks);
         let from = std::time::Instant::now();
         for _ in 0..5 {
             drop(asked(&feed.listener).await);
         }
-        // 0, 50, 100, 200 and 400 ms lie between them at the least.
+        // The delays between them are at least 0, 50, 100, 200 and 400 ms.
         drop(asked(&feed.listener).await);
         assert!(from.elapsed().as_millis() >= 700);
     });
 }
 
-/// A move in the middle of a frame, and in the middle of a dial, loses nothing: the new coordinator is asked from the
-/// last whole event on.
+/// A move to another coordinator in the middle of a frame, or while connecting, loses no event: the new coordinator is
+/// asked for everything after the last complete event.
 #[test]
-fn a_move_in_the_middle_of_a_frame_asks_from_the_last_whole_event() {
+fn a_move_in_the_middle_of_a_frame_continues_after_the_last_complete_event() {
     run(async |tasks| {
         let feed = feed(tasks);
         let (mut stream, _) = asked(&feed.listener).await;
@@ -111,7 +111,7 @@
         stream.write_all(&[&purge(2), half].concat()).await.unwrap();
         assert_eq!(purged(&feed).await, 2);
         let (next, address) = listen();
-        // Two moves at once: the last one holds.
+        // Of two moves at once the last one counts.
         let (other, there) = listen();
         feed.moves.try_send(there).unwrap();
         feed.moves.try_send(address).unwrap();
@@ -123,15 +123,15 @@
             other.accept().await.unwrap();
             let (stream, _) = other.accept().await.unwrap();
             drop(stream);
-            panic!("followed on at an address that was moved away from")
+            panic!("still follows at the address before the last move")
         };
         future::or(none, async { drop(asked(&next).await) }).await;
     });
 }
 
-/// News that the director has not taken yet lose nothing: they wait, in order, and so does what comes behind them.
+/// While the director's mailbox is full, events wait in order and none is lost.
 #[test]
-fn news_behind_a_full_mailbox_wait_in_order() {
+fn events_wait_in_order_while_the_mailbox_is_full() {
     run(async |tasks| {
         let feed = feed(tasks);
         let (mut stream, _) = asked(&feed.listener).await;
@@ -146,7 +146,7 @@
     });
 }
 
-/// Takes events with the time after which they came.
+/// Receives events together with a time after which each of them arrived.
 struct Timed(async_channel::Sender<Told>);
 
 impl Sink for Timed {
@@ -161,10 +161,11 @@
     }
 }
 
-/// The process stands still while the coordinator says that all was told: read later, that is no fresher than when it
-/// came. Guards against a lease that a frozen source or router takes up again by what lay in its socket.
+/// The process is stopped while the coordinator confirms that all events were sent. Read later, the confirmation counts
+/// only from a time before it arrived. Guards against a frozen source or router that renews its lease by a message that
+/// lay unread in its socket.
 #[test]
-fn a_word_that_lay_unread_counts_from_before_it_came() {
+fn a_confirmation_that_lay_unread_counts_from_before_its_arrival() {
     run(async |tasks| {
         let (listener, address) = listen();
         let (tell, told) = async_channel::bounded(64);
--- a/silverspindle/tests/failing_calls.rs
+++ b/silverspindle/tests/failing_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail for a while, by a library of our own preloaded into the router: no request is lost, nothing
-//! spins, one line is logged, and service goes on when the failure ends.
+//! System calls that fail for a while, injected by a library that is preloaded into the router: no request is lost, there
+//! is no busy loop, one line is logged, and service continues when the failure ends.
 
 mod common;
 
@@ -20,14 +20,14 @@
 use silverspindle_standins::shim::{FailingCalls, SystemCall};
 
 const RID: &str = "9b1f03aa5c7e2d41";
-/// Requests while connects fail: so many failures would set a cache aside.
+/// Number of requests while connects fail: a cache that was blamed for this many failures would be set aside.
 const FAILING: i32 = 20;
-/// Snapshots are written this often here.
+/// Interval between snapshots in these tests.
 const SNAPSHOT_EVERY: Duration = Duration::from_secs(1);
-/// A failure lasts for so long.
+/// Duration of a failure.
 const A_WHILE: Duration = Duration::from_millis(500);
 
-/// A router before a cache that answers at once.
+/// A router with one cache that answers at once.
 async fn start(tasks: &Tasks) -> (Router, FailingCalls, (tempfile::TempDir, Async<std::net::TcpListener>)) {
     let (coordinator, nowhere) = listen();
     let cache = serve_from(tasks, Cached::After(Duration::ZERO, 1000));
@@ -38,10 +38,10 @@
     (router, calls, (directory, coordinator))
 }
 
-/// Writes, syncs and renames that fail for a while keep the last snapshot whole, cost no request and are said once;
-/// afterwards snapshots are written again. What a killed writer has left beside it is in nobody's way.
+/// While writes, syncs or renames fail, the last snapshot stays intact, no request is lost and one line is logged;
+/// afterwards snapshots are written again. A partial file left by a killed writer does no harm.
 #[test]
-fn snapshots_wait_out_a_disk_that_fails() {
+fn snapshots_resume_after_a_disk_failure() {
     let faults = [
         (SystemCall::WriteFile, Errno::NOSPC),
         (SystemCall::Sync, Errno::IO),
@@ -74,9 +74,9 @@
         }
         for (seq, (call, error)) in (1..).zip(faults) {
             calls.fail(call, Some(error.raw_os_error())).unwrap();
-            // Long enough for two that fail.
+            // Long enough for two failed snapshots.
             Timer::after(2 * SNAPSHOT_EVERY + A_WHILE).await;
-            assert!(matches!(read(), Ok(Some(_))), "{error}: the last one is whole");
+            assert!(matches!(read(), Ok(Some(_))), "{error}: the last snapshot is intact");
             let (rid, object) = (format!("{seq:016x}"), format!("{:016x}", seq * 7919));
             let mut fields: Vec<(&str, &str)> = page("");
             (fields[1].1, fields[3].1) = (&rid, &object);
@@ -84,7 +84,7 @@
             client.send(&serve(seq, &fields, b"")).await;
             assert!(client.next().await.expect("an answer").len() > 1000, "{error}: served");
             calls.fail(call, None).unwrap();
-            // When the second one is there the first is done with, its directory synced and its line said.
+            // Once the second snapshot exists, the first is complete: its directory is synced and its line is logged.
             for _ in 0..2 {
                 let written = || std::fs::metadata(&snapshot).unwrap().modified().unwrap();
                 let before = written();
@@ -100,7 +100,7 @@
     });
 }
 
-/// Ends the router; its log.
+/// Ends the router and returns its log.
 fn end(mut router: Router) -> Vec<String> {
     let pid = router.child.id().to_string();
     assert!(Command::new("kill").arg(pid).status().unwrap().success());
@@ -109,9 +109,9 @@
     lines
 }
 
-/// A connection that can't be accepted for now waits, and is served when it can.
+/// A connection waits while accepts fail, and is served when they succeed again.
 #[test]
-fn connections_wait_out_an_accept_that_fails() {
+fn connections_are_served_after_accepts_have_failed() {
     for error in [Errno::CONNABORTED, Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::NOMEM, Errno::INTR] {
         run(async |tasks| {
             let (router, calls, _kept) = start(tasks).await;
@@ -122,7 +122,7 @@
             let before = used(router.child.id()).unwrap();
             Timer::after(A_WHILE).await;
             let spent = used(router.child.id()).unwrap() - before;
-            // The kernel never gives these two again and again; a router that tries at once is right there.
+            // The kernel does not return these two errors repeatedly, so the router is right to retry at once.
             assert!(aborted || spent < 100_000, "{error}: {spent} us of processor time");
             calls.fail(SystemCall::Accept, None).unwrap();
             let answer = client.next().await.expect("an answer");
@@ -136,11 +136,12 @@
     }
 }
 
-/// What is passed on to a cache is what the client has left: the time in the queue counts.
+/// The deadline passed on to a cache is the time that the client has left: the wait in the accept queue counts.
 #[test]
-fn a_request_that_waited_for_an_accept_passes_on_what_its_client_has_left() {
-    /// Milliseconds; and by how much the deadline that is passed on may exceed what is left.
+fn the_deadline_passed_on_counts_the_wait_in_the_accept_queue() {
+    /// The request's budget, in milliseconds.
     const BUDGET: u64 = 5000;
+    /// Maximum excess, in milliseconds, of the deadline passed on over the time left.
     const SLACK: u64 = 150;
     run(async |tasks| {
         let (_coordinator, nowhere) = listen();
@@ -162,9 +163,10 @@
     });
 }
 
-/// A connection in the queue when the router is told to end, and accepts fail just then: the listener is not closed over it.
+/// The router is told to end while a connection is queued and accepts fail: it must not close the listener before it has
+/// accepted that connection.
 #[test]
-fn an_end_takes_what_is_queued_once_accepts_succeed_again() {
+fn a_shutdown_accepts_queued_connections_once_accepts_succeed_again() {
     run(async |tasks| {
         let (mut router, calls, _kept) = start(tasks).await;
         calls.fail(SystemCall::Accept, Some(Errno::MFILE.raw_os_error())).unwrap();
@@ -172,7 +174,7 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let pid = router.child.id().to_string();
         assert!(Command::new("kill").arg(pid).status().unwrap().success());
-        // The listener is closed once nobody comes any more; by then accepts have failed for a while.
+        // The listener closes when no more clients are expected; accepts have been failing for a while by then.
         Timer::after(Duration::from_micros(LINGER) + A_WHILE).await;
         calls.fail(SystemCall::Accept, None).unwrap();
         let answer = client.next().await.expect("an answer");
@@ -184,14 +186,14 @@
     });
 }
 
-/// What can't be sent for want of descriptors here never ran: it is refused, no cache is blamed, and the next is served
-/// when the want has ended.
+/// Requests that can't be sent because the router is out of descriptors have never run: they are refused, no cache is
+/// blamed, and the next request is served when descriptors are available again.
 #[test]
-fn a_connect_that_fails_for_want_of_descriptors_blames_no_cache() {
+fn a_connect_that_fails_without_descriptors_blames_no_cache() {
     run(async |tasks| {
         let (router, _calls, _kept) = start(tasks).await;
         let client = Client::connect(tasks, router.clients).await;
-        // Accepted, before there is no descriptor for that.
+        // Makes sure that the client is accepted while there are still descriptors.
         assert!(client.well(1).await);
         let pid = Some(Pid::from_child(&router.child));
         let none = Rlimit { current: Some(3), maximum: getrlimit(Resource::Nofile).maximum };
--- a/silverspindle/tests/front_times.rs
+++ b/silverspindle/tests/front_times.rs
@@ -1,5 +1,5 @@
-//! What the front makes of times that it can't see: how long a connection waited to be accepted, and until when a client that reads
-//! slowly has read all; and what a drain makes of the latter.
+//! The front's estimates of times that it can't observe: how long a connection waited to be accepted, and when a slow
+//! client has read everything; and how a drain uses the latter.
 
 use bitternhold::Micros;
 use silverspindle::counters::RefusalReason;
@@ -10,7 +10,7 @@
 const S: Micros = 1_000_000;
 
 #[test]
-fn a_connection_can_have_come_since_the_queue_was_last_empty() {
+fn a_connection_can_have_arrived_since_the_queue_was_last_empty() {
     let mut queue = AcceptQueue::new(3, 100);
     assert_eq!(queue.take(500), 100);
     assert_eq!(queue.take(501), 100);
@@ -19,24 +19,24 @@
 }
 
 #[test]
-fn a_connection_can_have_come_since_there_was_room_for_it() {
+fn a_connection_can_have_arrived_since_there_was_room_for_it() {
     let mut queue = AcceptQueue::new(3, 100);
     let bounds: Vec<Micros> = (1..=6).map(|n| queue.take(1000 * n)).collect();
     assert_eq!(bounds, [100, 100, 100, 1000, 2000, 3000]);
 }
 
 #[test]
-fn a_client_may_read_as_slowly_as_the_slowest_though_no_write_waited() {
+fn a_client_is_assumed_to_read_at_the_slowest_rate_even_if_no_write_waited() {
     let reading = Reading::default();
     reading.wrote(1000, 50_000, WAITED - 1);
-    assert_eq!(reading.reads_until(1000), None, "what it sends meanwhile it sends again");
+    assert_eq!(reading.reads_until(1000), None, "the client resends what it sends meanwhile");
     reading.wrote(1000, 100_000, WAITED - 1);
     assert_eq!(reading.reads_until(1000), Some(1000 + 150_000 - CROSSES));
     assert!(!reading.is_slow(1000));
 }
 
 #[test]
-fn a_slow_client_is_behind_with_full_buffers_and_what_is_written_then_up_to_a_bound() {
+fn a_slow_client_is_behind_by_full_buffers_and_later_writes_up_to_a_limit() {
     let reading = Reading::default();
     reading.wrote(1000, 50_000, WAITED);
     reading.wrote(1000, 50_000, 0);
@@ -48,7 +48,7 @@
     assert_eq!(reading.reads_until(S), Some(S + MARGIN * PER_BYTE * MOST_UNREAD - CROSSES));
 }
 
-/// A connection that owes nothing, of a client that can't have read all before then.
+/// State of a connection that owes nothing and whose client can't have read everything before `until`.
 fn behind(until: Micros) -> Seen {
     let (open, unwritten, last_request) = (0, 0, Some(10 * S));
     let (reads_until, reads_slowly) = (Some(until), true);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_drain_waits_for_a_slow_client_and_refuses_it_more_but_gives_up_in_time() {
+fn a_drain_waits_for_a_slow_client_and_refuses_its_requests_but_gives_up_in_time() {
     let mut drain = Drain::new();
     drain.started();
     drain.drain(10 * S);
@@ -65,13 +65,13 @@
     let refused = drain.refuses(10 * S + GRACE, 20 * S, behind(by));
     assert_eq!(refused, Some(RefusalReason::Draining));
     let fast = Seen { reads_slowly: false, ..behind(by) };
-    assert_eq!(drain.refuses(10 * S + GRACE, 20 * S, fast), None, "held, and served meanwhile");
+    assert_eq!(drain.refuses(10 * S + GRACE, 20 * S, fast), None, "held open, and its requests are served");
     assert!(drain.close(by, behind(by)));
-    assert!(drain.close(10 * S + GIVE_UP, behind(60 * S)), "the terms go before");
+    assert!(drain.close(10 * S + GIVE_UP, behind(60 * S)), "the drain's deadline has priority");
 }
 
 #[test]
-fn an_end_waits_for_no_slow_client_into_the_kill() {
+fn a_shutdown_stops_waiting_for_a_slow_client_before_the_kill() {
     let mut drain = Drain::new().with_longest(2 * S);
     drain.started();
     drain.end(10 * S);
