--- a/silverspindle/src/front/closing.rs
+++ b/silverspindle/src/front/closing.rs
@@ -29,7 +29,7 @@
 /// arrive within 50 ms.
 const CROSSES: Micros = 50_000;
 /// Minimum time from the last write of an answer to the end of a lingering close, in microseconds, when others wait for
-/// the room.
+/// the room: leaves the client time to read that answer.
 const TAKEN_BY: Micros = 500_000;
 
 /// One lingering connection.
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -64,7 +64,7 @@
     Up(u64, Rc<Async<TcpStream>>),
     /// A connection received an answer.
     Answer(u64, Bytes),
-    /// A connection did not write an attempt, because the board no longer allowed it.
+    /// A connection did not write an attempt, because it was no longer allowed to be sent.
     Unwritten(u64, Rc<Attempt>),
     /// A connection ended, or could not be established.
     Down(u64, io::Error),
@@ -73,7 +73,9 @@
 /// Command to a connection's writer.
 #[derive(Debug)]
 enum Command {
+    /// Check an attempt and write it.
     Want(Rc<Attempt>),
+    /// Write these bytes.
     Plain(Vec<u8>),
 }
 
@@ -99,6 +101,7 @@
     _alive: Sender<()>,
 }
 
+/// An attempt or a probe in flight, with the time at which it was queued on the connection.
 #[derive(Debug)]
 enum Stream {
     Attempt(Rc<Attempt>, Micros),
