--- a/lab/src/data_path/host.rs
+++ b/lab/src/data_path/host.rs
@@ -5,7 +5,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use bitternhold::{
-    Action, Class, Director, Event, ListKind, Member, MemberId, Micros, Note, Detail, Outcome, Request,
+    Action, Class, Detail, Director, Event, ListKind, Member, MemberId, Micros, Note, Outcome, Request,
     RequestId, Settings, Status, Weights,
 };
 use rustix::time::{ClockId, clock_gettime};
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -175,7 +175,7 @@
         self.queue.insert((self.now.max(100 * S) + after, self.seq), step);
     }
 
-    fn since(&self) -> Micros {
+    fn elapsed(&self) -> Micros {
         self.now - 100 * S
     }
 
