--- a/wire/src/clock.rs
+++ b/wire/src/clock.rs
@@ -1,12 +1,12 @@
-//! The two clocks, which can't be mixed.
+//! The process clock and wall-clock timestamps, kept apart by their types.
 //!
-//! [`now`] is this process's own clock, in microseconds: deadlines, windows, waits, graces and ages are spans on it. It
-//! begins with the wall clock's time at the first look and then runs with the machine's monotonic clock alone: whoever
-//! steps the wall clock, by seconds or by an hour, changes nothing here.
+//! [`now`] reads the process clock in microseconds; deadlines, windows, waits, grace periods and ages are measured on it.
+//! It starts at the wall-clock time of its first reading and from then on follows the machine's monotonic clock only, so
+//! a step of the wall clock, by seconds or by an hour, does not affect it.
 //!
-//! A [`Stamp`] is a time by a wall clock, another machine's or this one's: what the coordinator, the caches and files that
-//! outlive the process hold. The one way from it to the own clock is [`Stamp::on_own_clock`], which is as right as this
-//! machine's wall clock was when the process began.
+//! A [`Stamp`] is a wall-clock time of this or another machine, as carried by the coordinator, the caches and files that
+//! outlive the process. [`Stamp::on_own_clock`] is the only conversion to the process clock; it is as accurate as this
+//! machine's wall clock was when the process started.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,54 +16,55 @@
 use async_io::Timer;
 use bitternhold::Micros;
 
-/// The own clock's beginning: the monotonic clock and the wall clock at one moment.
+/// Start of the process clock: the monotonic clock and the wall clock (Unix microseconds) read at the same moment.
 static BEGINNING: OnceLock<(Instant, Micros)> = OnceLock::new();
 
-/// Now, by the own clock, in microseconds. It never steps.
+/// The current time on the process clock, in microseconds. It never steps.
 pub fn now() -> Micros {
     let (began, unix) = BEGINNING.get_or_init(|| (Instant::now(), Stamp::now().0));
     unix.saturating_add(began.elapsed().as_micros() as Micros)
 }
 
-/// Comes up at a time of the own clock; at once if that is past.
+/// A timer that fires at a time of the process clock, or at once if that time is past.
 pub fn at(time: Micros) -> Timer {
     Timer::after(Duration::from_micros(time.saturating_sub(now())))
 }
 
-/// Where an actor's time comes from: the process's own clock, or, in a test, what the test says.
+/// Time source of an actor: the process clock, or a value that a test sets.
 #[derive(Clone, Debug, Default)]
 pub struct Clock {
     given: Option<Rc<Cell<Micros>>>,
 }
 
 impl Clock {
-    /// A clock that shows what the cell holds.
+    /// A clock for tests that returns the value in the cell.
     pub fn given(time: Rc<Cell<Micros>>) -> Self {
         Self { given: Some(time) }
     }
 
-    /// Now.
+    /// The current time of this clock, in microseconds.
     pub fn now(&self) -> Micros {
         self.given.as_ref().map_or_else(now, |time| time.get())
     }
 }
 
-/// A time by a wall clock, in microseconds since the Unix epoch.
+/// A wall-clock time in microseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Stamp(Micros);
 
 impl Stamp {
-    /// This machine's wall clock now: for what other machines or later processes read, and for log lines.
+    /// The current time of this machine's wall clock. Only for data that other machines or later processes read, and for
+    /// log lines.
     pub fn now() -> Self {
         Self(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as Micros))
     }
 
-    /// From microseconds since the Unix epoch.
+    /// A timestamp from microseconds since the Unix epoch.
     pub fn from_micros(unix: u64) -> Self {
         Self(unix)
     }
 
-    /// From milliseconds since the Unix epoch.
+    /// A timestamp from milliseconds since the Unix epoch.
     pub fn from_millis(unix: u64) -> Self {
         Self(unix.saturating_mul(1000))
     }
@@ -73,12 +74,12 @@
         self.0
     }
 
-    /// Where it lies on the own clock.
+    /// The same time on the process clock.
     pub fn on_own_clock(self) -> Micros {
         self.0
     }
 
-    /// How old it is at a time of the own clock; one from the future is of that moment.
+    /// Age of the timestamp at a time of the process clock; 0 for a timestamp in the future.
     pub fn age(self, now: Micros) -> Micros {
         now.saturating_sub(self.on_own_clock())
     }
--- a/wire/src/feed.rs
+++ b/wire/src/feed.rs
@@ -1,4 +1,4 @@
-//! The coordinator's events, as frames and as the configuration's `known`. No I/O.
+//! Decoders for the coordinator's events: frames of its feed and the `known` section of the configuration. No I/O.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -9,41 +9,42 @@
 use crate::clock::Stamp;
 use crate::framing::{Cursor, Malformed};
 
-/// The largest frame: a list of some ten thousand members.
-const MOST_FRAME: usize = 256 * 1024;
-const RECORD: usize = 27;
+/// Largest frame in bytes; it fits a list of about ten thousand members.
+const MAX_FRAME: usize = 256 * 1024;
+/// Size of one member's record in a frame, in bytes.
+const RECORD_SIZE: usize = 27;
 
-/// A member as listed, with where it listens.
+/// An entry of the membership list: a member and its address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
-    /// What the module is told.
+    /// The member, as passed to the decision module.
     pub member: Member,
-    /// Where it listens.
+    /// Address that the member listens on.
     pub address: SocketAddr,
 }
 
-/// An event.
+/// Content of a coordinator's event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
-    /// Nothing new.
+    /// No change: the coordinator has sent everything that it has.
     Nothing,
-    /// News of the members.
+    /// Entries of the membership list.
     Members {
-        /// They are all there are.
+        /// The entries are the whole list, not a change to it.
         complete: bool,
         /// The entries.
         members: Vec<Listed>,
     },
-    /// Copies older than this are not to be served.
+    /// A purge: copies older than its time must not be served.
     Purged {
         /// What was purged.
         what: Purged,
-        /// When, by the wall clock of whoever purged.
+        /// Time of the purge on the wall clock of the machine that issued it.
         at: Stamp,
     },
 }
 
-/// What a purge names.
+/// Target of a purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Purged {
     /// An object.
@@ -52,35 +53,35 @@
     Group(u64),
 }
 
-/// An event under its number.
+/// A numbered event of the coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// Its number.
+    /// Number of the event in the coordinator's sequence.
     pub index: u64,
-    /// What it tells.
+    /// Content of the event.
     pub news: News,
 }
 
-/// See [`crate::framing::Measure`].
+/// Length of the first frame in the buffer; see [`crate::framing::Measure`].
 pub fn measure(buffer: &[u8]) -> Result<usize, Malformed> {
     match Cursor(buffer).number(4) {
         Err(_) => Ok(4),
-        Ok(length) if (9..=MOST_FRAME as u64).contains(&length) => Ok(4 + length as usize),
-        Ok(_) => Err(Malformed("frame of a length that no event has")),
+        Ok(length) if (9..=MAX_FRAME as u64).contains(&length) => Ok(4 + length as usize),
+        Ok(_) => Err(Malformed("frame length out of range")),
     }
 }
 
-/// Reads a whole frame.
+/// Decodes a whole frame.
 pub fn decode(frame: &[u8]) -> Result<Event, Malformed> {
     let mut c = Cursor(frame);
     c.number(4)?;
     let (index, kind) = (c.number(8)?, c.number(1)?);
     let news = match kind {
         0 => News::Nothing,
-        1 | 2 if c.0.len() % RECORD == 0 => {
-            let mut members = Vec::with_capacity(c.0.len() / RECORD);
+        1 | 2 if c.0.len() % RECORD_SIZE == 0 => {
+            let mut members = Vec::with_capacity(c.0.len() / RECORD_SIZE);
             while !c.0.is_empty() {
-                members.push(record(&mut c)?);
+                members.push(decode_record(&mut c)?);
             }
             News::Members { complete: kind == 1, members }
         }
@@ -94,7 +95,8 @@
     Ok(Event { index, news })
 }
 
-fn record(c: &mut Cursor) -> Result<Listed, Malformed> {
+/// Decodes a member's record in a frame.
+fn decode_record(c: &mut Cursor) -> Result<Listed, Malformed> {
     let id = MemberId(c.number(4)?);
     let address = SocketAddr::from((Ipv4Addr::from(c.number(4)? as u32), c.number(2)? as u16));
     let lifecycle = match c.number(1)? {
@@ -109,7 +111,7 @@
     Ok(Listed { member: Member { id, lifecycle, zone, kind, cell, weight, started }, address })
 }
 
-/// Reads `known`: the number of its last event and the events. An error names the key.
+/// Parses the configuration's `known`: the number of its last event and the events. An error names the key.
 pub fn known(value: &Value, names: &Catalogue) -> Result<(u64, Vec<Event>), String> {
     let index = value["index"].as_u64().ok_or("known.index: must be a whole number")?;
     let updates = value["updates"].as_array().ok_or("known.updates: must be a list")?;
@@ -119,7 +121,7 @@
             let entries = list["members"].as_array().ok_or_else(|| bad("endpoints.members"))?;
             let members = entries
                 .iter()
-                .map(|m| listed(m, names).map_err(|key| bad(&format!("endpoints.members.{key}"))))
+                .map(|m| parse_entry(m, names).map_err(|key| bad(&format!("endpoints.members.{key}"))))
                 .collect::<Result<_, _>>()?;
             News::Members { complete: list["complete"].as_bool().unwrap_or(false), members }
         } else {
@@ -136,13 +138,14 @@
     Ok((index, events.collect::<Result<_, String>>()?))
 }
 
-/// A number of sixteen hex digits, as objects and requests are named.
+/// Parses an object or request id: a number of exactly sixteen hex digits.
 pub fn hex(text: &str) -> Option<u64> {
     let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-fn listed(m: &Value, names: &Catalogue) -> Result<Listed, &'static str> {
+/// Parses a member's entry in `known`. An error is the name of the key.
+fn parse_entry(m: &Value, names: &Catalogue) -> Result<Listed, &'static str> {
     let id =
         m["id"].as_str().and_then(|t| t.strip_prefix("s-")).and_then(|t| u32::from_str_radix(t, 16).ok());
     Ok(Listed {
--- a/wire/src/framing.rs
+++ b/wire/src/framing.rs
@@ -1,5 +1,5 @@
-//! What the three parsers share: a message is measured in the buffer it was read into, split off whole
-//! without a copy, then read as borrowed slices.
+//! Message framing shared by the three protocols: a message's length is determined in the receive buffer, the message is
+//! split off without a copy and then decoded into borrowed slices.
 
 use std::fmt;
 use std::future::poll_fn;
@@ -14,7 +14,7 @@
 
 use crate::clock;
 
-/// Why a message can't be read.
+/// Error of a message that can't be decoded, with the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
@@ -30,10 +30,11 @@
     }
 }
 
-/// How many bytes the first message needs, as far as can be told yet. It is whole if the buffer holds them.
+/// Returns the number of bytes that the first message in the buffer needs at least, as far as the bytes received so far
+/// tell. The message is complete if the buffer holds that many.
 pub type Measure = fn(&[u8]) -> Result<usize, Malformed>;
 
-/// Splits the first message off the buffer, if it is whole.
+/// Splits the first message off the buffer if it is complete.
 pub fn split(buffer: &mut BytesMut, measure: Measure) -> Result<Option<Bytes>, Malformed> {
     let needed = measure(buffer)?;
     Ok((needed <= buffer.len()).then(|| buffer.split_to(needed).freeze()))
@@ -43,24 +44,25 @@
 pub struct Messages<R> {
     stream: R,
     buffer: BytesMut,
-    /// So much of the buffer was read; what lies behind is room for a read that was dropped half way.
+    /// Number of received bytes in the buffer. The bytes behind them are spare room, left by a read that was cancelled.
     filled: usize,
-    /// When a message that is not whole yet began to come.
+    /// When the first bytes of an incomplete message were read.
     begun: Option<Micros>,
-    /// No byte that is still unread can have come before.
+    /// Lower bound of the arrival time of every byte not read yet: the last time the stream was known to be empty.
     dry: Micros,
-    /// No byte of the last read can have come before.
+    /// Lower bound of the arrival time of the bytes of the last read.
     came: Micros,
     measure: Measure,
+    /// Largest read, in bytes.
     chunk: usize,
-    /// A message that has begun and then stays away for so long ends the stream.
+    /// Timeout for the next bytes of an incomplete message.
     stall: Option<Duration>,
-    /// A message that has begun and is not whole after so long ends the stream.
+    /// Timeout for a whole message, from its first byte.
     whole: Option<Duration>,
 }
 
 impl<R: AsyncRead + Unpin> Messages<R> {
-    /// Reads at most `chunk` bytes at a time, so that an idle connection holds no more.
+    /// Reads at most `chunk` bytes at a time, which bounds the buffer of an idle connection.
     pub fn new(stream: R, measure: Measure, chunk: usize) -> Self {
         Self {
             stream,
@@ -76,33 +78,33 @@
         }
     }
 
-    /// Of a stream on which bytes may lie since then.
+    /// Sets the time since when unread bytes may lie on the stream; without it, the time of [`Self::new`].
     pub fn opened(self, at: Micros) -> Self {
         Self { dry: at, ..self }
     }
 
-    /// With an error where a message that has begun gets no further for so long.
+    /// Makes reading fail if an incomplete message receives no byte for this long.
     pub fn or_stall(self, stall: Duration) -> Self {
         Self { stall: Some(stall), ..self }
     }
 
-    /// With an error where a message that has begun is not whole after so long, however it trickles.
+    /// Makes reading fail if a message is not complete this long after its first byte, even if bytes keep trickling in.
     pub fn within(self, whole: Duration) -> Self {
         Self { whole: Some(whole), ..self }
     }
 
-    /// When a message that is not whole yet began to come; none if none did.
+    /// When the first bytes of an incomplete message were read; none if the buffer holds no such bytes.
     pub fn begun(&self) -> Option<Micros> {
         self.begun
     }
 
-    /// The earliest time at which the last byte of the last message can have come. Bytes lie unread while whoever reads them
-    /// is busy elsewhere.
+    /// The earliest time at which the last byte of the last message can have arrived. It may be well before the read:
+    /// bytes lie unread while the reading task is busy elsewhere.
     pub fn came(&self) -> Micros {
         self.came
     }
 
-    /// The next message; none at the end of the stream. May be dropped and called again.
+    /// The next message; none at the end of the stream. Cancel-safe: the future may be dropped and `next` called again.
     pub async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             self.buffer.truncate(self.filled);
@@ -121,7 +123,7 @@
                     Some(stall) => Timer::after(stall).await,
                     None => Timer::never().await,
                 };
-                Err(io::Error::new(io::ErrorKind::TimedOut, "half a message, then nothing"))
+                Err(io::Error::new(io::ErrorKind::TimedOut, "timed out in the middle of a message"))
             };
             let (stream, room) = (&mut self.stream, &mut self.buffer[self.filled..]);
             let (dry, mut waited) = (&mut self.dry, false);
@@ -134,7 +136,7 @@
             });
             let read = future::or(read, late).await?;
             let now = clock::now();
-            // Woken by the bytes, it reads them as they come.
+            // After a wait the task was woken by the bytes, so they were read as they arrived.
             self.came = if waited { now } else { self.dry };
             if read < self.chunk {
                 self.dry = now;
@@ -150,24 +152,24 @@
     }
 }
 
-/// Reads fields in order; every length is checked against what is there.
+/// Reads the fields of a message in order and checks every length against the remaining bytes.
 #[derive(Clone, Copy)]
 pub struct Cursor<'a>(pub &'a [u8]);
 
 impl<'a> Cursor<'a> {
-    /// The next bytes.
+    /// Takes the next `n` bytes.
     pub fn take(&mut self, n: usize) -> Result<&'a [u8], Malformed> {
         let (head, rest) = self.0.split_at_checked(n).ok_or(Malformed("ends early"))?;
         self.0 = rest;
         Ok(head)
     }
 
-    /// A big-endian unsigned number of so many bytes, eight at most.
+    /// Reads a big-endian unsigned integer of this many bytes, at most eight.
     pub fn number(&mut self, bytes: usize) -> Result<u64, Malformed> {
         Ok(self.take(bytes)?.iter().fold(0, |n, b| n << 8 | u64::from(*b)))
     }
 
-    /// A length of four bytes, then so many bytes.
+    /// Reads a byte string behind its length, a four-byte integer.
     pub fn counted(&mut self) -> Result<&'a [u8], Malformed> {
         let length = self.number(4)? as usize;
         self.take(length)
--- a/wire/src/resp.rs
+++ b/wire/src/resp.rs
@@ -1,16 +1,18 @@
-//! The caches' protocol: RESP arrays of bulk strings. No I/O.
+//! The protocol of the caches: RESP arrays of bulk strings. No I/O.
 
 use bitternhold::{Load, Micros, Note, Status};
 
 use crate::clock::Stamp;
 use crate::framing::Malformed;
 
-/// The largest object is 240,000 bytes; what else an answer holds is short.
-const MOST_BODY: usize = 256 * 1024;
-const MOST_FIELDS: usize = 4096;
-const MOST_WORD: usize = 64;
-/// A line of an array's or a string's length, `$` and line end included.
-const MOST_LINE: usize = 12;
+/// Largest body in bytes. The largest object has 240,000 bytes; everything else in an answer is short.
+const MAX_BODY: usize = 256 * 1024;
+/// Largest fields string in bytes.
+const MAX_FIELDS: usize = 4096;
+/// Largest id and largest answer word, in bytes.
+const MAX_WORD: usize = 64;
+/// Longest length line of an array or string in bytes, including the `*` or `$` and the line end.
+const MAX_LINE: usize = 12;
 
 const WORDS: [(&[u8], Word); 8] = [
     (b"HIT", Word::Hit),
@@ -36,29 +38,29 @@
     ("backfire", Note::OriginFailed),
 ];
 
-/// How a cache answers.
+/// Answer word of a cache: how a request or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Word {
-    /// Served, with the bytes.
+    /// Served with a body.
     Hit,
-    /// Served: the client's copy is the one.
+    /// Served without a body: the client's own copy is current.
     Valid,
-    /// Miss; it never ran.
+    /// Miss; the request did not run.
     None,
-    /// Full; it never ran.
+    /// The cache is full; the request did not run.
     Shed,
-    /// Error; it may have run.
+    /// Error; the request may have run.
     Fault,
-    /// The request was over already; it never ran.
+    /// The request's deadline had passed; it did not run.
     Late,
-    /// A probe's good answer.
+    /// Answer of a healthy member to a probe.
     Pong,
-    /// A probe's bad answer.
+    /// Answer of an unhealthy member to a probe.
     Sick,
 }
 
 impl Word {
-    /// What it proves of an attempt.
+    /// Status of the attempt that received this answer.
     pub fn status(self) -> Status {
         match self {
             Word::Hit | Word::Valid | Word::Pong => Status::Ok,
@@ -70,33 +72,34 @@
     }
 }
 
-/// An answer of a cache.
+/// A decoded answer of a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer<'a> {
-    /// The request's id or the probe's tag.
+    /// Id of the request, or tag of the probe.
     pub id: &'a [u8],
-    /// How it ended.
+    /// How the request or the probe ended.
     pub word: Word,
-    /// How it came about.
+    /// How the cache obtained the answer.
     pub note: Option<Note>,
-    /// Time spent waiting for the source.
+    /// Time that the cache waited for the source of the fill.
     pub waited: Option<Micros>,
-    /// The load report.
+    /// Load report of the cache.
     pub load: Option<Load>,
-    /// The tag of its copy, and when the origin gave it out.
+    /// Version of the object: its tag, and the time at which the origin issued it.
     pub name: Option<(&'a [u8], Stamp)>,
-    /// The bytes.
+    /// Bytes of the object.
     pub body: &'a [u8],
 }
 
-/// What stands in a line after its mark, and where the next begins; none if the line is not whole.
-fn line(buffer: &[u8], at: usize, mark: u8) -> Result<Option<(usize, usize)>, Malformed> {
+/// Parses a length line at this position: the number behind its mark (`*` or `$`) and the start of the next line. None if
+/// the line is incomplete.
+fn length_line(buffer: &[u8], at: usize, mark: u8) -> Result<Option<(usize, usize)>, Malformed> {
     let rest = &buffer[at.min(buffer.len())..];
     if rest.first().is_some_and(|b| *b != mark) {
         return Err(Malformed("not an array of bulk strings"));
     }
-    let Some(end) = rest.iter().take(MOST_LINE).position(|b| *b == b'\n') else {
-        return if rest.len() < MOST_LINE { Ok(None) } else { Err(Malformed("endless length")) };
+    let Some(end) = rest.iter().take(MAX_LINE).position(|b| *b == b'\n') else {
+        return if rest.len() < MAX_LINE { Ok(None) } else { Err(Malformed("length line too long")) };
     };
     let digits = rest[1..end].strip_suffix(b"\r").ok_or(Malformed("bad line end"))?;
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
@@ -106,16 +109,17 @@
     Ok(Some((number, at + end + 1)))
 }
 
-/// Calls back with each string of the first array, as far as it is there; the bytes it needs at least.
-fn walk<'a>(buffer: &'a [u8], mut each: impl FnMut(usize, &'a [u8])) -> Result<usize, Malformed> {
-    let Some((count, mut at)) = line(buffer, 0, b'*')? else { return Ok(buffer.len() + 1) };
+/// Calls `each` with every string of the first array that the buffer holds completely. Returns the number of bytes that
+/// the array needs at least.
+fn walk_strings<'a>(buffer: &'a [u8], mut each: impl FnMut(usize, &'a [u8])) -> Result<usize, Malformed> {
+    let Some((count, mut at)) = length_line(buffer, 0, b'*')? else { return Ok(buffer.len() + 1) };
     if !(2..=4).contains(&count) {
         return Err(Malformed("an answer has two to four strings"));
     }
     for i in 0..count {
-        let Some((length, start)) = line(buffer, at, b'$')? else { return Ok(buffer.len() + 1) };
-        let most = [MOST_WORD, MOST_WORD, MOST_FIELDS, MOST_BODY][i];
-        if length > most {
+        let Some((length, start)) = length_line(buffer, at, b'$')? else { return Ok(buffer.len() + 1) };
+        let max_length = [MAX_WORD, MAX_WORD, MAX_FIELDS, MAX_BODY][i];
+        if length > max_length {
             return Err(Malformed("string too long"));
         }
         let end = start + length;
@@ -123,35 +127,35 @@
         match buffer.get(end..at) {
             None => return Ok(at),
             Some(b"\r\n") => each(i, &buffer[start..end]),
-            Some(_) => return Err(Malformed("string without its end")),
+            Some(_) => return Err(Malformed("string without its line end")),
         }
     }
     Ok(at)
 }
 
-/// See [`crate::framing::Measure`].
+/// Length of the first answer in the buffer; see [`crate::framing::Measure`].
 pub fn measure(buffer: &[u8]) -> Result<usize, Malformed> {
-    walk(buffer, |_, _| ())
+    walk_strings(buffer, |_, _| ())
 }
 
-/// Reads a whole answer.
+/// Decodes a whole answer.
 pub fn decode(frame: &[u8]) -> Result<Answer<'_>, Malformed> {
     let mut strings = [&b""[..]; 4];
-    if walk(frame, |i, s| strings[i] = s)? != frame.len() {
-        return Err(Malformed("not one whole answer"));
+    if walk_strings(frame, |i, s| strings[i] = s)? != frame.len() {
+        return Err(Malformed("not exactly one whole answer"));
     }
     let [id, word, fields, body] = strings;
     let word = WORDS.iter().find(|(w, _)| *w == word).ok_or(Malformed("unknown word"))?.1;
     let mut answer = Answer { id, word, note: None, waited: None, load: None, name: None, body };
     let (mut tag, mut stamp) = (None, None);
-    let fields = std::str::from_utf8(fields).map_err(|_| Malformed("fields are no text"))?;
+    let fields = std::str::from_utf8(fields).map_err(|_| Malformed("fields are not valid UTF-8"))?;
     for (name, value) in fields.split(',').filter_map(|f| f.split_once('=')) {
         match name {
             "why" => answer.note = NOTES.iter().find(|(n, _)| *n == value).map(|(_, note)| *note),
-            "took" => answer.waited = number(value).map(|ms| (ms * 1000.0) as Micros),
+            "took" => answer.waited = parse_number(value).map(|ms| (ms * 1000.0) as Micros),
             "version" => tag = Some(value.as_bytes()).filter(|tag| !tag.is_empty()),
             "stamp" => stamp = value.parse().ok().filter(|ms| *ms <= u64::MAX / 1000).map(Stamp::from_millis),
-            "rep" => answer.load = Some(load(value)),
+            "rep" => answer.load = Some(parse_load(value)),
             _ => {}
         }
     }
@@ -159,27 +163,29 @@
     Ok(answer)
 }
 
-fn number(text: &str) -> Option<f64> {
+/// Parses a finite number that is not negative.
+fn parse_number(text: &str) -> Option<f64> {
     text.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0)
 }
 
-fn load(report: &str) -> Load {
+/// Parses a load report: `name:value` pairs with semicolons between them. Unknown names are ignored.
+fn parse_load(report: &str) -> Load {
     let mut load = Load::default();
     for (name, value) in report.split(';').filter_map(|f| f.split_once(':')) {
         match name {
-            "util" | "cpu" => load.cpu = number(value),
-            "inflight" | "active" => load.active = number(value),
-            "queue" | "waiting" => load.waiting = number(value),
-            "x1" => load.link = number(value),
+            "util" | "cpu" => load.cpu = parse_number(value),
+            "inflight" | "active" => load.active = parse_number(value),
+            "queue" | "waiting" => load.waiting = parse_number(value),
+            "x1" => load.link = parse_number(value),
             _ => {}
         }
     }
     load
 }
 
-/// A command: an array of these strings.
+/// Encodes an array of these bulk strings: a command to a cache.
 pub fn command(strings: &[&[u8]]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(strings.iter().map(|s| s.len() + MOST_LINE).sum());
+    let mut out = Vec::with_capacity(strings.iter().map(|s| s.len() + MAX_LINE).sum());
     out.extend(format!("*{}\r\n", strings.len()).into_bytes());
     for s in strings {
         out.extend(format!("${}\r\n", s.len()).into_bytes());
--- a/wirehost/src/codec.rs
+++ b/wirehost/src/codec.rs
@@ -1,4 +1,4 @@
-//! The wire's dialect to and from the library's interface.
+//! Translates the simulator's JSON messages to events of the decision module, and the module's actions back.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,16 +7,16 @@
 use bitternhold::*;
 use serde_json::{Map, Value};
 
-type Res<T> = Result<T, String>;
+type MessageResult<T> = Result<T, String>;
 type Object = Map<String, Value>;
 
-/// A director with the names its settings gave to classes, zones and kinds.
+/// A director, with the names of classes, zones and kinds from its settings.
 struct Instance {
     director: Director,
     names: Catalogue,
 }
 
-/// All instances of this process, and the numbered lists that `fleet` events refer to.
+/// All director instances of this process, and the numbered member lists that `fleet` events refer to.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
@@ -24,56 +24,59 @@
     actions: Vec<Action>,
 }
 
-/// A message under its name, for plain complaints.
+/// A message with its name, which error messages quote.
 struct Message<'a> {
     name: &'a str,
     fields: &'a Object,
 }
 
 impl<'a> Message<'a> {
-    fn bad(&self, field: &str) -> String {
+    fn malformed(&self, field: &str) -> String {
         format!("message '{}': field '{field}' is missing or malformed", self.name)
     }
     fn value(&self, field: &str) -> Option<&'a Value> {
         self.fields.get(field).filter(|v| !v.is_null())
     }
-    fn optional<T>(&self, field: &str, read: impl Fn(&'a Value) -> Option<T>) -> Res<Option<T>> {
-        self.value(field).map(|v| read(v).ok_or_else(|| self.bad(field))).transpose()
+    fn optional<T>(&self, field: &str, read: impl Fn(&'a Value) -> Option<T>) -> MessageResult<Option<T>> {
+        self.value(field).map(|v| read(v).ok_or_else(|| self.malformed(field))).transpose()
     }
-    fn required<T>(&self, field: &str, read: impl Fn(&'a Value) -> Option<T>) -> Res<T> {
-        self.optional(field, read)?.ok_or_else(|| self.bad(field))
+    fn required<T>(&self, field: &str, read: impl Fn(&'a Value) -> Option<T>) -> MessageResult<T> {
+        self.optional(field, read)?.ok_or_else(|| self.malformed(field))
     }
-    fn text(&self, field: &str) -> Res<&'a str> {
+    fn text(&self, field: &str) -> MessageResult<&'a str> {
         self.required(field, Value::as_str)
     }
-    fn number(&self, field: &str) -> Res<u64> {
-        self.required(field, whole)
+    fn number(&self, field: &str) -> MessageResult<u64> {
+        self.required(field, whole_number)
     }
-    fn micros(&self, field: &str) -> Res<Micros> {
+    fn micros(&self, field: &str) -> MessageResult<Micros> {
         self.required(field, micros)
     }
-    fn ticket(&self) -> Res<RequestId> {
+    fn ticket(&self) -> MessageResult<RequestId> {
         self.required("ticket", |v| ticket(v.as_str()?))
     }
-    fn node(&self) -> Res<MemberId> {
+    fn node(&self) -> MessageResult<MemberId> {
         self.number("node").map(MemberId)
     }
-    fn flag(&self, field: &str) -> Res<bool> {
+    fn flag(&self, field: &str) -> MessageResult<bool> {
         Ok(self.optional(field, Value::as_bool)?.unwrap_or(false))
     }
 }
 
-fn whole(v: &Value) -> Option<u64> {
+/// Reads a whole number that is not negative, also where it is written as a float.
+fn whole_number(v: &Value) -> Option<u64> {
     v.as_u64().or_else(|| v.as_f64().filter(|x| *x >= 0.0 && x.fract() == 0.0).map(|x| x as u64))
 }
 
-/// Ids are returned unchanged: what would not come back the same is malformed.
+/// Parses a request id. Replies must repeat the id unchanged, so a text that [`ticket_text`] would write differently is
+/// malformed.
 fn ticket(text: &str) -> Option<RequestId> {
     let hex: String = text.chars().filter(|c| *c != '-').collect();
     let id = RequestId(u128::from_str_radix(&hex, 16).ok()?);
     (ticket_text(id) == text).then_some(id)
 }
 
+/// Formats a request id as the simulator writes it: 32 hex digits in five groups.
 fn ticket_text(id: RequestId) -> String {
     let h = format!("{:032x}", id.0);
     format!("{}-{}-{}-{}-{}", &h[..8], &h[8..12], &h[12..16], &h[16..20], &h[20..])
@@ -117,8 +120,8 @@
 }
 
 impl Host {
-    /// Handles one batch and writes its reply, line end included.
-    pub fn batch(&mut self, line: &str, reply: &mut String) -> Res<()> {
+    /// Handles one batch of events and writes its reply, including the line end.
+    pub fn batch(&mut self, line: &str, reply: &mut String) -> MessageResult<()> {
         let value: Value = serde_json::from_str(line).map_err(|e| format!("message 'batch': {e}"))?;
         let fields = value.as_object().ok_or("message 'batch': not an object")?;
         let batch = Message { name: "batch", fields };
@@ -150,7 +153,7 @@
         Ok(())
     }
 
-    fn event(&mut self, now: Micros, who: u64, msg: &Message) -> Res<()> {
+    fn event(&mut self, now: Micros, who: u64, msg: &Message) -> MessageResult<()> {
         match msg.name {
             "configure" => {
                 let options = msg.required("options", Value::as_object)?;
@@ -177,11 +180,11 @@
                     1 => ListKind::Full,
                     2 => ListKind::Cached,
                     3 => ListKind::Failed,
-                    _ => return Err(msg.bad("kind")),
+                    _ => return Err(msg.malformed("kind")),
                 };
                 let mut members = Vec::new();
                 if kind != ListKind::Failed {
-                    for v in self.lists.get(&msg.number("ref")?).ok_or_else(|| msg.bad("ref"))? {
+                    for v in self.lists.get(&msg.number("ref")?).ok_or_else(|| msg.malformed("ref"))? {
                         let fields = v.as_object().ok_or("message 'define_list': record is no object")?;
                         members.push(instance.member(&Message { name: "define_list", fields })?);
                     }
@@ -192,8 +195,8 @@
                 id: msg.ticket()?,
                 class: place(&instance.names.classes, msg.optional("band", Value::as_str)?),
                 object: msg.text("key")?.to_owned(),
-                part: msg.optional("range_no", whole)?.unwrap_or(0),
-                group: msg.optional("tag", whole)?.unwrap_or(0),
+                part: msg.optional("range_no", whole_number)?.unwrap_or(0),
+                group: msg.optional("tag", whole_number)?.unwrap_or(0),
                 size_kb: msg.optional("length_kb", Value::as_f64)?.filter(|kb| *kb > 0.0),
                 write: msg.flag("write")?,
                 valid_until: msg.micros("valid_until_ms")?,
@@ -232,28 +235,30 @@
 }
 
 impl Instance {
-    fn member(&self, msg: &Message) -> Res<Member> {
+    fn member(&self, msg: &Message) -> MessageResult<Member> {
         Ok(Member {
             id: msg.node()?,
             lifecycle: match msg.number("lifecycle")? {
                 0 => Lifecycle::Gone,
                 1 => Lifecycle::Ready,
                 2 => Lifecycle::Draining,
-                _ => return Err(msg.bad("lifecycle")),
+                _ => return Err(msg.malformed("lifecycle")),
             },
             zone: place(&self.names.zones, msg.optional("hall", Value::as_str)?),
             kind: place(&self.names.kinds, msg.optional("sku", Value::as_str)?),
-            cell: msg.optional("unit_group", whole)?.unwrap_or(0),
+            cell: msg.optional("unit_group", whole_number)?.unwrap_or(0),
             weight: msg.optional("nominal", Value::as_f64)?.unwrap_or(0.0),
             started: msg.optional("born_ms", micros)?.unwrap_or(0),
         })
     }
 }
 
+/// Converts microseconds to milliseconds.
 fn ms(t: Micros) -> f64 {
     t as f64 / 1000.0
 }
 
+/// Appends an action to a reply as JSON.
 fn encode(now: Micros, action: &Action, out: &mut String) {
     let result = match action {
         Action::Look { id, member, until } => write!(
@@ -290,7 +295,7 @@
         Action::Refuse { id, wait } => {
             write!(out, r#"{{"m":"busy","ticket":"{}","wait_ms":{}}}"#, ticket_text(*id), ms(*wait))
         }
-        // The simulator's directors hold no copies, so none is ever asked for.
+        // The simulator's directors hold no copies of their own, so the module never asks to serve one.
         Action::Own { id } | Action::Fail { id } => {
             write!(out, r#"{{"m":"fail","ticket":"{}"}}"#, ticket_text(*id))
         }
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts directors on the bench's wire: decodes batches, hands each event to the instance it names, encodes
-//! the actions. It decides nothing.
+//! Adapter between the simulator and directors: reads batches of events from standard input, passes each event to the
+//! instance that it names, and writes the resulting actions to standard output. It makes no decision itself.
 
 mod codec;
 
--- a/wirehost/tests/wire.rs
+++ b/wirehost/tests/wire.rs
@@ -1,11 +1,12 @@
-//! The real binary over its standard streams.
+//! Tests of the built binary over its standard streams.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 use serde_json::{Value, json};
 
-fn host(lines: &[String]) -> Output {
+/// Runs the binary on these lines of input.
+fn run_host(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_bitternhold-wirehost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -14,7 +15,7 @@
         .unwrap();
     let mut input = child.stdin.take().unwrap();
     for line in lines {
-        // A host that has ended on a malformed line reads no further.
+        // The binary exits on a malformed line and reads no further.
         if writeln!(input, "{line}").is_err() {
             break;
         }
@@ -32,6 +33,7 @@
     json!({"now_ms": now, "parts": [{"who": who, "news": news}]}).to_string()
 }
 
+/// Events that start an instance with three members.
 fn start(seed: u64) -> Vec<Value> {
     let options = json!({
         "balancers": 1, "my_zone": "edge", "failure_domains": ["hub", "edge"],
@@ -64,7 +66,7 @@
 }
 
 #[test]
-fn a_short_day() {
+fn events_are_answered_in_batches_and_unknown_ones_are_ignored() {
     let mut news = start(7);
     news.push(call());
     let lines = [
@@ -73,7 +75,7 @@
         batch(1020.0, 4, json!([ended(0), {"m": "superseded", "key": 0, "age_span_ms": 1.0, "group": 11}])),
         batch(1030.0, 4, json!([{"m": "unheard_of", "x": 1}])),
     ];
-    let out = host(&lines);
+    let out = run_host(&lines);
     assert!(out.status.success() && out.stderr.is_empty());
     let replies = replies(&out);
     assert_eq!(replies.len(), 4);
@@ -89,7 +91,7 @@
 }
 
 #[test]
-fn a_killed_instance_starts_anew_and_others_live_on() {
+fn a_restarted_instance_is_empty_and_others_keep_running() {
     let mut again = vec![json!({"m": "retire"})];
     again.extend(start(8));
     again.push(call());
@@ -102,7 +104,7 @@
         batch(4.0, 1, json!([ended(14)])),
         batch(5.0, 9, json!([ended(14)])),
     ];
-    let out = host(&lines);
+    let out = run_host(&lines);
     assert!(out.status.success());
     let replies = replies(&out);
     assert_ne!(replies[2]["parts"][0]["do"][0]["store_as"], 2, "an empty filter after a start");
@@ -111,18 +113,18 @@
 }
 
 #[test]
-fn list_numbers_are_taken_in_event_order() {
+fn a_redefined_list_holds_for_the_events_after_it() {
     let mut news = start(7);
     let gone = json!([{"node": 1, "sku": "box", "hall": "edge", "lifecycle": 0, "nominal": 1}]);
     news.push(json!({"m": "define_list", "ref": 0, "records": gone}));
     news.push(json!({"m": "fleet", "kind": 0, "index": 2, "ref": 0}));
     news.push(call());
-    let out = host(&[batch(1.0, 0, news.into())]);
+    let out = run_host(&[batch(1.0, 0, news.into())]);
     assert_eq!(replies(&out)[0]["parts"][0]["do"][0]["m"], "busy");
 }
 
 #[test]
-fn malformed_lines_end_it_with_one_plain_line() {
+fn a_malformed_line_ends_the_program_with_one_line_of_error() {
     let mut bad_call = call();
     bad_call["ticket"] = json!("not-an-id");
     let mut with_call = start(7);
@@ -137,7 +139,7 @@
         (batch(1.0, 0, with_call.into()), "call", "ticket"),
         (batch(1.0, 0, with_end.into()), "ended", "node"),
     ] {
-        let out = host(&[line]);
+        let out = run_host(&[line]);
         assert!(!out.status.success());
         assert!(out.stdout.is_empty());
         let text = String::from_utf8(out.stderr).unwrap();
