--- a/silverspindle/src/drain.rs
+++ b/silverspindle/src/drain.rs
@@ -1,100 +1,109 @@
-//! Whether this router takes clients: the drain that staff ask for, a resume, and the end on SIGTERM.
+//! State machine of draining: whether this router takes clients. It covers the drain and the resume that staff
+//! request, the drain of a router whose turn for work has come, and the shutdown on SIGTERM.
 //!
-//! No I/O: it is told what happened and when, and answers whether the router is ready, which request is refused, which
-//! connection is closed or given up and whether the process may exit. A drained router keeps running and serves what it
-//! took. The front that sends clients here stops new connections 0.2 s after it hears no, and asks ten times a second, so
-//! connections are left alone for [`GRACE`]; then each is closed in the first moment in which it owes nothing.
+//! No I/O: the state machine receives events with their times and decides whether the router is ready, which requests
+//! are refused, which connections are closed or cut off, when open requests are given up (answered at once with a
+//! final answer) and whether the process may exit. A drained router keeps running and answers the requests that it
+//! accepted. The load balancer in front of the router checks its readiness ten times a second and stops sending new
+//! connections 0.2 s after a negative answer. Connections are therefore kept for [`GRACE`]; after that, each is
+//! closed as soon as no answer is owed on it.
 //!
-//! A client may never leave such a moment: its requests overlap, wait for a cache that hangs, or are answered faster than
-//! it reads. So the moment is made: from [`TAKES`] on what comes behind open requests is refused as never run (from [`GRACE`] on
-//! where answers wait to be taken), and what is still open at [`GIVE_UP`] on a connection that is in use gets its final answer then. Every
-//! wait here ends in real time, whatever clients and caches do. SIGHUP changes nothing here.
+//! On some connections an answer is always owed: requests overlap, wait for a cache that hangs, or are answered
+//! faster than the client reads. Such connections are forced to a close. From [`TAKES`] on, further requests behind
+//! open ones are refused as never run (from [`GRACE`] on where answers wait for the client to read them). At
+//! [`GIVE_UP`], what is still open on a connection in use is given up. Every wait in this module is bounded in real
+//! time, whatever clients and caches do. SIGHUP does not affect this module.
 
 use bitternhold::Micros;
 
 use crate::counters::RefusalReason;
 
-/// After a drain or an end, connections are left alone for so long: the front hears no within 0.1 s and
-/// sends no new connection 0.2 s later.
+/// Grace period after the start of a drain or shutdown in which no connection is closed, in microseconds. The load
+/// balancer in front learns that the router is not ready within 0.1 s and sends no new connection 0.2 s later.
 pub const GRACE: Micros = 400_000;
-/// After a drain or an end requests are taken behind open ones for so long. Those taken by then have until [`GIVE_UP`] for their
-/// answer, longer than any wanted time; most connections have had a moment without an open request before.
+/// For this long after the start of a drain or shutdown, requests are accepted on connections with open requests, in
+/// microseconds. Requests accepted by then have until [`GIVE_UP`] for their answer, longer than the aim of any
+/// class. Most connections have had a moment without an open request before.
 pub const TAKES: Micros = 1_000_000;
-/// The operators look at connections so long after a drain: none may be idle then, or have had a request within
-/// [`RECENT`].
+/// The operators check connections this long after the start of a drain, in microseconds. At that time no connection
+/// may be idle or have had a request within [`RECENT`].
 pub const TERM: Micros = 4_000_000;
-/// See [`TERM`].
+/// A request within this time before [`TERM`] makes its connection count as held, in microseconds.
 pub const RECENT: Micros = 2_000_000;
-/// After a drain what is still open on a connection that is in use is given up: early enough before [`TERM`] for the
-/// answer to be written, read and followed by the close.
+/// Time after the start of a drain at which requests still open on a connection in use are given up, in microseconds.
+/// It leaves enough time before [`TERM`] to write the final answer, for the client to read it, and to close.
 pub const GIVE_UP: Micros = TERM - 600_000;
-/// From [`GIVE_UP`] on a client that has taken no byte of its answers for so long is not reading any more.
+/// From [`GIVE_UP`] on, a client that has read no byte of its waiting answers for this long, in microseconds, counts as
+/// no longer reading.
 pub const NOT_READING: Micros = 2_000_000;
-/// A connection that came after the grace and has said nothing yet is given so long for its first request.
+/// Time for the first request of a connection that came late, after the start of a drain or shutdown, in microseconds.
 pub const FIRST_WORD: Micros = 300_000;
-/// After SIGTERM clients may still come for so long (0.4 s for connections, 0.2 s for requests).
+/// Time after SIGTERM in which clients may still arrive, in microseconds (0.4 s for connections, 0.2 s for requests).
 pub const LINGER: Micros = 700_000;
-/// SIGKILL follows SIGTERM after the longest deadline, taken as this where it is longer, and [`LINGER`].
+/// Cap on the longest deadline in the time from SIGTERM to SIGKILL, in microseconds: SIGKILL follows after the longest
+/// deadline, capped at this value, plus [`LINGER`].
 pub const LONGEST_COUNTED: Micros = 3_000_000;
-/// An answer that is due by SIGKILL has to be written before it by so much: a time-out at the deadline
-/// reaches the client within 50 ms. What is open then is given up.
+/// Margin before SIGKILL by which the last answers must be written, in microseconds: a timeout at the deadline reaches
+/// the client within 50 ms. Requests that are still open then are given up.
 pub const BEFORE_KILL: Micros = 150_000;
-/// Connections that wait for their client's own close are let go so long before SIGKILL.
+/// Connections that wait for the client's own close are dropped this long before SIGKILL, in microseconds.
 pub const LAST_CLOSES: Micros = 100_000;
-/// Where no SIGKILL comes, the process waits so long beyond its time for clients that still read.
+/// If no SIGKILL comes, the process waits this long after the time of SIGKILL for clients that still read, in
+/// microseconds.
 pub const LATEST_EXIT: Micros = 10_000_000;
 
-/// A router whose turn for work has come takes what still comes for so long: none of its clients' connections
-/// should be left by then.
+/// For this long, in microseconds, a router whose turn for work has come still accepts requests. None of its clients'
+/// connections should be left by then.
 pub const ORDERED_TAKES: Micros = 4_000_000;
 
-/// Where the router stands.
+/// Phase of the router's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Not yet able to serve.
     Starting,
-    /// Takes clients.
+    /// Accepts clients.
     Serving,
-    /// Asked to drain at this time: serves what comes, takes no new work gladly.
+    /// Draining since this time: not ready, but requests that still come are served at first.
     Draining(Micros),
-    /// Told to end at this time: as draining, and exits once all is answered.
+    /// Shutting down; connections have to go since this time. As draining, and the process exits once everything is
+    /// answered.
     Ending(Micros),
 }
 
-/// A client's connection as the drain sees it.
+/// State of a client's connection that the drain decides on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seen {
-    /// Requests and replies that are not answered in writing.
+    /// Number of requests whose answer is not completely written, including replies that need no decision.
     pub open: usize,
-    /// Of them, those whose answer waits for the client to take it.
+    /// Number of those whose answer is ready but waits for the client to take it.
     pub unwritten: usize,
-    /// When a request last came.
+    /// Arrival time of the last request.
     pub last_request: Option<Micros>,
-    /// Before then its client can't have read all but a little; none: it can.
+    /// Earliest time at which the client can have read enough of its answers for a close; none if it can have already.
     pub reads_until: Option<Micros>,
-    /// Its client was seen to read slowly.
+    /// The client was observed to read slowly.
     pub reads_slowly: bool,
-    /// Any request came on it.
+    /// The client has sent a message on this connection.
     pub asked: bool,
-    /// When it came, or last had something to do.
+    /// When the connection was accepted or last had activity.
     pub used: Micros,
 }
 
-/// Why a client's connection is not closed yet under a drain or an end.
+/// Reason why a client's connection is not closed yet during a drain or shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Hold {
-    /// Clients are still being sent here.
+    /// The grace period is not over: clients are still being sent to this router.
     Grace,
-    /// Requests on it are open.
+    /// Requests on the connection are open.
     OpenRequests,
-    /// Its client can't have read all yet: the end of the stream would cross what it sends.
+    /// The client can't have read all answers yet, so requests that it sends now would cross the end of the stream.
     UnreadAnswers,
-    /// It came late and has its time for a first message.
+    /// The connection came late and its time for a first message has not passed.
     FirstMessage,
 }
 
 impl Hold {
-    /// As it stands in log lines.
+    /// Name of the reason in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Hold::Grace => "grace",
@@ -109,12 +118,13 @@
 #[derive(Clone, Debug)]
 pub struct Drain {
     phase: Phase,
-    /// From SIGTERM to SIGKILL at the soonest, and when SIGTERM came.
+    /// Shortest time from SIGTERM to SIGKILL.
     kill_after: Micros,
-    told: Micros,
-    /// Since when the routers have agreed that this one goes out for work, and whether that began the drain.
+    /// When SIGTERM came.
+    signalled: Micros,
+    /// Since when the agreed order of work takes this router out, and whether the order started the drain.
     ordered: Option<(Micros, bool)>,
-    /// It may send nothing on, as its word of what the routers agree on is too old.
+    /// The router may pass on no request: its confirmation of what the routers agreed on is too old.
     alone: bool,
 }
 
@@ -125,39 +135,40 @@
 }
 
 impl Drain {
-    /// A router that can't serve yet.
+    /// State of a router that is starting.
     pub fn new() -> Self {
         Self {
             phase: Phase::Starting,
             kill_after: LONGEST_COUNTED + LINGER,
-            told: 0,
+            signalled: 0,
             ordered: None,
             alone: false,
         }
     }
 
-    /// The longest deadline of the site's classes: it sets when SIGKILL may come after SIGTERM.
+    /// Sets the longest deadline of the site's classes, which determines when SIGKILL may follow SIGTERM.
     pub fn with_longest(mut self, deadline: Micros) -> Self {
         self.kill_after = deadline.min(LONGEST_COUNTED) + LINGER;
         self
     }
 
-    /// Where it stands.
+    /// Current phase of the router.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// All is listening: the router can serve, unless it was drained or told to end meanwhile.
+    /// All listeners are up: the router starts serving, unless a drain or shutdown has begun meanwhile.
     pub fn started(&mut self) {
         if self.phase == Phase::Starting {
             self.phase = Phase::Serving;
         }
     }
 
-    /// Staff ask for a drain. A second drain keeps the time of the first; an ending router stays ending.
-    /// Says whether anything changed.
+    /// Staff request a drain. A second drain keeps the time of the first; a router that is shutting down continues to.
+    /// Returns whether the phase changed.
     pub fn drain(&mut self, now: Micros) -> bool {
-        // From here on it is staff's, whoever began it: a turn for work that ends does not undo it.
+        // From here on the drain is staff's, even if an order of work started it: the end of the order does not undo
+        // it.
         if let Some((_, began)) = &mut self.ordered {
             *began = false;
         }
@@ -174,33 +185,33 @@
         }
     }
 
-    /// The routers have agreed that this one goes out for work: it drains, and from [`ORDERED_TAKES`] on refuses what
-    /// still comes, so that nothing is lost when it is unplugged. One that is `out` already, and started again, refuses
-    /// at once.
+    /// The agreed order of work takes this router out: it drains, and after [`ORDERED_TAKES`] refuses every request, so
+    /// that nothing is lost when it is unplugged. A router that restarts while it is already `out` refuses at once.
     pub fn order(&mut self, now: Micros, out: bool) {
         let (since, began) = self.ordered.unwrap_or((now, false));
         let since = if out { since.min(now.saturating_sub(ORDERED_TAKES)) } else { since };
         self.ordered = Some((since, self.begin(now) || began));
     }
 
-    /// Its turn is over: it takes clients again, unless staff have drained it besides.
+    /// The router's turn for work is over: it serves again, unless staff have requested a drain as well.
     pub fn release(&mut self) {
         if let Some((_, true)) = self.ordered.take() {
             self.resume();
         }
     }
 
-    /// Whether it may send nothing on at all: it refuses what comes, at once, and says that it is not ready.
+    /// Sets whether the router may pass on no request at all: it then refuses every request at once and is not ready.
     pub fn alone(&mut self, alone: bool) {
         self.alone = alone;
     }
 
-    /// Whether it refuses what comes, by an agreed order.
+    /// Whether the router refuses every request because the agreed order of work takes it out.
     pub fn is_out(&self, now: Micros) -> bool {
         self.ordered.is_some_and(|(since, _)| now >= since.saturating_add(ORDERED_TAKES))
     }
 
-    /// Staff ask to take clients again. Nothing brings an ending router back. Says whether anything changed.
+    /// Staff request that the router serves again. A router that is shutting down never does. Returns whether the phase
+    /// changed.
     pub fn resume(&mut self) -> bool {
         match self.phase {
             Phase::Draining(_) => {
@@ -211,10 +222,11 @@
         }
     }
 
-    /// SIGTERM or SIGINT. A router that was drained already keeps its earlier time: its connections are going.
+    /// Starts the shutdown on SIGTERM or SIGINT. A router that was draining keeps the time of the drain, as its
+    /// connections are closing already.
     pub fn end(&mut self, now: Micros) {
         if !matches!(self.phase, Phase::Ending(_)) {
-            self.told = now;
+            self.signalled = now;
         }
         self.phase = match self.phase {
             Phase::Draining(since) => Phase::Ending(since.min(now)),
@@ -223,12 +235,12 @@
         };
     }
 
-    /// The answer to `GET /-/ready` and to `isWell`.
+    /// Whether the router is ready: the answer to `GET /-/ready` and to `isWell`.
     pub fn ready(&self) -> bool {
         self.phase == Phase::Serving && !self.alone
     }
 
-    /// Since when connections are to go, if they are.
+    /// Start of the drain or shutdown, if there is one.
     pub fn since(&self) -> Option<Micros> {
         match self.phase {
             Phase::Draining(since) | Phase::Ending(since) => Some(since),
@@ -236,82 +248,84 @@
         }
     }
 
-    /// Whether a connection is to be closed now: after the grace, once it owes no answer. One that came later
-    /// and said nothing yet gets [`FIRST_WORD`] for its request.
+    /// Whether a connection must be closed now: after the grace period, once no answer is owed on it. A connection that
+    /// came late and has sent nothing yet gets [`FIRST_WORD`] for its first request.
     pub fn close(&self, now: Micros, seen: Seen) -> bool {
         self.since().is_some() && self.hold(now, seen).is_none()
     }
 
-    /// Why a connection is kept for now, under a drain or an end.
+    /// Why a connection is kept for now during a drain or shutdown.
     pub fn hold(&self, now: Micros, seen: Seen) -> Option<Hold> {
-        hold(self.since()?, self.reads_by(), now, seen)
+        hold(self.since()?, self.wait_for_reader_until(), now, seen)
     }
 
-    /// Why a request that came now on this connection and is due by `deadline` is refused, as never run; none: it is
-    /// taken. An ending router takes all that comes within [`LINGER`] of the signal, as clients are told to expect, and
-    /// later what it can answer before SIGKILL. Past [`TAKES`] neither it nor a drained one takes more on a connection
-    /// that has requests open: clients may go on using theirs, and one that always has a request open would never be
-    /// closed. From [`RECENT`] before [`TERM`] on a connection with a request would be held at that time: nothing is taken.
+    /// Why a request that arrives now on this connection and is due by `deadline` is refused, as never run; none if
+    /// it is accepted. A router that is shutting down accepts every request within [`LINGER`] of the signal, as
+    /// promised to clients, and later ones that it can answer before SIGKILL. After [`TAKES`], during a drain or
+    /// shutdown, no request is accepted on a connection with open requests: clients may keep using their connections,
+    /// and one that always has a request open would never be closed. From [`RECENT`] before [`TERM`] on, no request
+    /// is accepted at all, as its connection would count as held at [`TERM`].
     pub fn refuses(&self, now: Micros, deadline: Micros, seen: Seen) -> Option<RefusalReason> {
         if self.alone || self.is_out(now) {
             return Some(RefusalReason::Withdrawn);
         }
         let since = self.since()?;
-        let unread = seen.reads_slowly && seen.reads_until.is_some() && now < self.reads_by();
-        let backlog = (seen.unwritten > 0 || unread) && now >= since.saturating_add(GRACE);
+        let slow_reader =
+            seen.reads_slowly && seen.reads_until.is_some() && now < self.wait_for_reader_until();
+        let backlog = (seen.unwritten > 0 || slow_reader) && now >= since.saturating_add(GRACE);
         let busy = seen.open > 0 && now >= since.saturating_add(TAKES);
-        let spent = backlog || busy || now >= since.saturating_add(TERM - RECENT);
+        let must_refuse = backlog || busy || now >= since.saturating_add(TERM - RECENT);
         match self.phase {
-            Phase::Ending(_) if now < self.told.saturating_add(LINGER) => None,
-            Phase::Ending(_) if spent || deadline.saturating_add(BEFORE_KILL) > self.kill() => {
+            Phase::Ending(_) if now < self.signalled.saturating_add(LINGER) => None,
+            Phase::Ending(_) if must_refuse || deadline.saturating_add(BEFORE_KILL) > self.kill() => {
                 Some(RefusalReason::Ending)
             }
-            Phase::Draining(_) if spent => Some(RefusalReason::Draining),
+            Phase::Draining(_) if must_refuse => Some(RefusalReason::Draining),
             _ => None,
         }
     }
 
-    /// Until then clients that read slowly are waited for: the terms, and the kill, are near.
-    fn reads_by(&self) -> Micros {
-        let gives_up = self.since().unwrap_or(0).saturating_add(GIVE_UP);
+    /// Until when the router waits for clients that read slowly; after that, [`TERM`] or SIGKILL is too near.
+    fn wait_for_reader_until(&self) -> Micros {
+        let given_up_at = self.since().unwrap_or(0).saturating_add(GIVE_UP);
         match self.phase {
-            Phase::Ending(_) => gives_up.min(self.kill().saturating_sub(BEFORE_KILL)),
-            _ => gives_up,
+            Phase::Ending(_) => given_up_at.min(self.kill().saturating_sub(BEFORE_KILL)),
+            _ => given_up_at,
         }
     }
 
-    /// When SIGKILL may come at the soonest, after SIGTERM.
+    /// Earliest time at which SIGKILL may follow SIGTERM.
     fn kill(&self) -> Micros {
-        self.told.saturating_add(self.kill_after)
+        self.signalled.saturating_add(self.kill_after)
     }
 
-    /// Whether what is open on a connection gets its final answer now, as it won't be let go in time otherwise: a client
-    /// that has used it within [`RECENT`] of [`TERM`], or SIGKILL comes.
+    /// Whether the open requests of a connection must get their final answer now, because it would not be closed in
+    /// time otherwise: its last request is within [`RECENT`] of [`TERM`], or SIGKILL is near.
     pub fn gives_up(&self, now: Micros, seen: Seen) -> bool {
         let Some(since) = self.since() else { return false };
         let in_use =
             seen.last_request.is_some_and(|at| at.saturating_add(RECENT) >= since.saturating_add(TERM));
         let ending = matches!(self.phase, Phase::Ending(_));
-        let dying = ending && now.saturating_add(BEFORE_KILL) >= self.kill();
-        // What an ending router takes after its drain's term is owed until the kill.
-        let looked_at = !ending || now < since.saturating_add(TERM);
-        dying || (in_use && looked_at && now >= since.saturating_add(GIVE_UP))
+        let kill_is_near = ending && now.saturating_add(BEFORE_KILL) >= self.kill();
+        // Requests that a router accepts during shutdown after the check at TERM may be answered until SIGKILL.
+        let check_ahead = !ending || now < since.saturating_add(TERM);
+        kill_is_near || (in_use && check_ahead && now >= since.saturating_add(GIVE_UP))
     }
 
-    /// Whether a connection is cut off whose answers wait, and whose client has taken nothing of them since then.
+    /// Whether a connection with waiting answers must be cut off; its client has read none of them since `waits_since`.
     pub fn cuts(&self, now: Micros, waits_since: Micros) -> bool {
         let Some(since) = self.since() else { return false };
         now >= since.saturating_add(GIVE_UP) && now >= waits_since.max(since).saturating_add(NOT_READING)
     }
 
-    /// Whether a message that has begun to come is waited for before its connection is closed: no more once a request
-    /// would be refused anyway.
+    /// Whether the rest of a partially received message is waited for before its connection is closed: only while a
+    /// request would be accepted.
     pub fn waits_for_halves(&self, now: Micros) -> bool {
         self.since().is_none_or(|since| now < since.saturating_add(TAKES))
     }
 
-    /// How long a connection that this side has closed may wait for its client's own close, of `usual`: the process is
-    /// gone before SIGKILL, where that is still to come.
+    /// How long a connection that this side has closed may wait for the client's own close: `usual`, or during a
+    /// shutdown at most until shortly before SIGKILL, so that the process exits before it.
     pub fn lingers(&self, now: Micros, usual: Micros) -> Micros {
         match self.phase {
             Phase::Ending(_) => {
@@ -322,14 +336,15 @@
         }
     }
 
-    /// Whether connections that wait for their client's own close are let go now, whenever they were closed: SIGKILL is near.
+    /// Whether connections that wait for the client's own close must be dropped now, however recently they were closed,
+    /// because SIGKILL is near.
     pub fn is_last_moment(&self, now: Micros) -> bool {
         matches!(self.phase, Phase::Ending(_)) && now.saturating_add(LAST_CLOSES) >= self.kill()
     }
 
-    /// Whether the process may exit: it was told to end, [`LINGER`] has passed since, nothing is owed and all
-    /// clients' connections are gone or owe nothing. [`LATEST_EXIT`] after SIGKILL could have come it does not wait for
-    /// clients any more that take their answers too slowly.
+    /// Whether the process may exit: a shutdown has begun, [`LINGER`] has passed since, no answer is owed and all
+    /// clients' connections are closed or have no answer left to write (`flushed`). From [`LATEST_EXIT`] after the
+    /// time of SIGKILL on, the process no longer waits for clients that read their answers too slowly.
     pub fn may_exit(&self, now: Micros, owed: usize, flushed: bool) -> bool {
         match self.phase {
             Phase::Ending(_) if now >= self.kill().saturating_add(LATEST_EXIT) => true,
@@ -339,20 +354,20 @@
     }
 }
 
-fn hold(since: Micros, reads_by: Micros, now: Micros, seen: Seen) -> Option<Hold> {
+fn hold(since: Micros, wait_for_reader_until: Micros, now: Micros, seen: Seen) -> Option<Hold> {
     if now < since.saturating_add(GRACE) {
         return Some(Hold::Grace);
     }
     if seen.open > 0 {
         return Some(Hold::OpenRequests);
     }
-    if seen.reads_until.is_some_and(|until| now < until.min(reads_by)) {
+    if seen.reads_until.is_some_and(|until| now < until.min(wait_for_reader_until)) {
         return Some(Hold::UnreadAnswers);
     }
-    let said_nothing = !seen.asked && seen.used >= since;
+    let late_and_silent = !seen.asked && seen.used >= since;
     let in_time = now < seen.used.saturating_add(FIRST_WORD);
-    let looked_at = (since.saturating_add(GIVE_UP)..since.saturating_add(TERM)).contains(&now);
-    (said_nothing && in_time && !looked_at).then_some(Hold::FirstMessage)
+    let check_ahead = (since.saturating_add(GIVE_UP)..since.saturating_add(TERM)).contains(&now);
+    (late_and_silent && in_time && !check_ahead).then_some(Hold::FirstMessage)
 }
 
 #[cfg(test)]
@@ -424,7 +439,7 @@
         assert!(d.close(10 * S + GRACE, idle(0)));
         let busy = Seen { open: 1, ..idle(10 * S) };
         assert!(!d.close(12 * S, busy), "an open request is answered first");
-        // A connection that came late gets time for its first word, one from before the drain none.
+        // A connection that came late gets time for its first message, one from before the drain does not.
         let late = Seen { asked: false, ..idle(10 * S + GRACE) };
         assert!(!d.close(10 * S + GRACE + 1, late));
         assert!(d.close(10 * S + GRACE + FIRST_WORD, late));
@@ -474,8 +489,9 @@
         assert_eq!(long.refuses(TAKES, counted - BEFORE_KILL, busy), Some(RefusalReason::Ending));
     }
 
-    /// No client and no cache can keep a connection: behind open requests nothing more is taken after a while, behind
-    /// answers that wait at once, and what is open still is given up before the operators look; and not before.
+    /// Guards against a connection that is held beyond the drain's deadline by its client or by a cache. Requests
+    /// behind open ones are refused after a while, those behind waiting answers from the end of the grace period, and
+    /// open requests are given up before the operators' check, but no earlier.
     #[test]
     fn a_drain_ends_on_every_connection() {
         let mut d = Drain::new();
@@ -510,7 +526,7 @@
         assert!(!d.gives_up(15 * S + 1, busy(15 * S)), "what comes within the linger is owed until the kill");
     }
 
-    /// An end is over by SIGKILL, and without one some time later, whatever clients and caches do.
+    /// Guards against a shutdown that is still waiting for clients or caches at SIGKILL, or for ever if none comes.
     #[test]
     fn an_end_is_over_before_the_kill() {
         let mut d = Drain::new().with_longest(2 * S);
@@ -527,8 +543,8 @@
         assert!(!d.may_exit(kill + LATEST_EXIT - 1, 0, false) && d.may_exit(kill + LATEST_EXIT, 1, false));
     }
 
-    /// Every order of drain, resume, end and reload: ready says yes exactly while serving, an ending router
-    /// never comes back, and its time never moves on.
+    /// In every order of drain, resume, shutdown and reload, the router is ready exactly while it serves, never
+    /// leaves the shutdown, and keeps the time at which that began.
     #[test]
     fn every_order_of_calls() {
         fn walk(d: &Drain, depth: usize, now: Micros) {
@@ -563,8 +579,8 @@
         walk(&d, 6, S);
     }
 
-    /// A router whose turn for work has come drains, refuses after a while, and serves again after; staff's own drain
-    /// outlives the turn.
+    /// A router whose turn for work has come drains, refuses requests after a while, and serves again after its turn; a
+    /// drain by staff outlives the turn.
     #[test]
     fn an_agreed_turn_drains_then_refuses_and_staffs_drain_outlives_it() {
         let mut d = Drain::new();
--- a/wire/src/clock.rs
+++ b/wire/src/clock.rs
@@ -1,12 +1,12 @@
 //! The process clock and wall-clock timestamps, kept apart by their types.
 //!
-//! [`now`] reads the process clock in microseconds; deadlines, windows, waits, grace periods and ages are measured on it.
-//! It starts at the wall-clock time of its first reading and from then on follows the machine's monotonic clock only, so
-//! a step of the wall clock, by seconds or by an hour, does not affect it.
+//! [`now`] reads the process clock in microseconds; deadlines, windows, waits, grace periods and ages are measured on
+//! it. It starts at the wall-clock time of its first reading and from then on follows the machine's monotonic clock
+//! only, so a step of the wall clock, by seconds or by an hour, does not affect it.
 //!
-//! A [`Stamp`] is a wall-clock time of this or another machine, as carried by the coordinator, the caches and files that
-//! outlive the process. [`Stamp::on_own_clock`] is the only conversion to the process clock; it is as accurate as this
-//! machine's wall clock was when the process started.
+//! A [`Stamp`] is a wall-clock time of this or another machine, as carried by the coordinator, the caches and files
+//! that outlive the process. [`Stamp::on_own_clock`] is the only conversion to the process clock; it is as accurate
+//! as this machine's wall clock was when the process started.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -53,8 +53,8 @@
 pub struct Stamp(Micros);
 
 impl Stamp {
-    /// The current time of this machine's wall clock. Only for data that other machines or later processes read, and for
-    /// log lines.
+    /// The current time of this machine's wall clock. Only for data that other machines or later processes read, and
+    /// for log lines.
     pub fn now() -> Self {
         Self(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as Micros))
     }
--- a/wire/src/framing.rs
+++ b/wire/src/framing.rs
@@ -1,5 +1,5 @@
-//! Message framing shared by the three protocols: a message's length is determined in the receive buffer, the message is
-//! split off without a copy and then decoded into borrowed slices.
+//! Message framing shared by the three protocols: a message's length is determined in the receive buffer, the message
+//! is split off without a copy and then decoded into borrowed slices.
 
 use std::fmt;
 use std::future::poll_fn;
--- a/wire/src/resp.rs
+++ b/wire/src/resp.rs
@@ -91,8 +91,8 @@
     pub body: &'a [u8],
 }
 
-/// Parses a length line at this position: the number behind its mark (`*` or `$`) and the start of the next line. None if
-/// the line is incomplete.
+/// Parses a length line at this position: the number behind its mark (`*` or `$`) and the start of the next line.
+/// None if the line is incomplete.
 fn length_line(buffer: &[u8], at: usize, mark: u8) -> Result<Option<(usize, usize)>, Malformed> {
     let rest = &buffer[at.min(buffer.len())..];
     if rest.first().is_some_and(|b| *b != mark) {
