--- a/conf/examples/shipped.rs
+++ b/conf/examples/shipped.rs
@@ -1,4 +1,5 @@
-//! Prints the file as shipped: `cargo run -p silverspindle-conf --example shipped > deploy/silverspindle.conf`.
+//! Prints the shipped operators' file:
+//! `cargo run -p silverspindle-conf --example shipped > deploy/silverspindle.conf`.
 
 fn main() {
     print!("{}", silverspindle_conf::shipped());
--- a/conf/src/grammar.rs
+++ b/conf/src/grammar.rs
@@ -1,34 +1,36 @@
-//! Lines and words. A `#` at the start of a word begins a comment; quotes and backslashes are a shell's.
+//! Splits the file into lines and words. A `#` at the start of a word begins a comment; quotes and backslashes work
+//! as in a shell.
 
 use crate::Fault;
 
-/// The largest file, in bytes, and the longest line: nobody's settings, and a bound on what is read.
-pub const MOST_FILE: usize = 1 << 20;
-const MOST_LINE: usize = 4096;
+/// Largest file, in bytes. No real configuration is that long; the limit bounds what is read.
+pub const MAX_FILE_SIZE: usize = 1 << 20;
+/// Longest line, in bytes.
+const MAX_LINE_LENGTH: usize = 4096;
 
-/// A line that says something.
+/// A line with a directive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Directive {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Its first word.
+    /// Name of the directive: the first word of the line.
     pub key: String,
-    /// The others.
+    /// The other words of the line.
     pub words: Vec<String>,
 }
 
-/// Splits a text into directives. A line that can't be split is a fault and says nothing.
+/// Splits a text into directives. A line that can't be split into words is a fault and yields no directive.
 pub fn directives(text: &str) -> (Vec<Directive>, Vec<Fault>) {
     let (mut found, mut faults) = (Vec::new(), Vec::new());
-    if text.len() > MOST_FILE {
-        let problem = format!("is {} bytes long, {MOST_FILE} at most are read", text.len());
+    if text.len() > MAX_FILE_SIZE {
+        let problem = format!("is {} bytes long, at most {MAX_FILE_SIZE} are allowed", text.len());
         return (found, vec![Fault { line: 1, key: "file".to_owned(), problem }]);
     }
     for (line, words) in (1..).zip(text.lines()) {
         let first = || words.split_whitespace().next().unwrap_or_default().chars().take(40).collect();
         let mut fault =
             |problem: &str| faults.push(Fault { line, key: first(), problem: problem.to_owned() });
-        if words.len() > MOST_LINE {
+        if words.len() > MAX_LINE_LENGTH {
             fault("the line is longer than 4096 bytes");
             continue;
         }
--- a/conf/src/keys.rs
+++ b/conf/src/keys.rs
@@ -1,4 +1,4 @@
-//! The table of directives: what each takes, within which bounds, what holds where it is absent.
+//! Table of the directives with their value types, bounds, defaults and descriptions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use crate::grammar::Directive;
 use crate::{Fault, Micros};
 
-/// What a directive takes.
+/// Type of a directive's value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     /// An address and a port.
@@ -16,19 +16,19 @@
     Path,
     /// A duration within these bounds, in microseconds.
     Duration(Micros, Micros),
-    /// A size in bytes within these bounds.
+    /// A size within these bounds, in bytes.
     Size(u64, u64),
     /// A whole number within these bounds.
     Count(u64, u64),
-    /// A name, then an address and a port.
+    /// A name in a certificate, then an address and a port.
     Peer,
-    /// A name, as in a certificate.
+    /// A name in a certificate.
     Name,
     /// One of these words.
     Choice(&'static [&'static str]),
 }
 
-/// A value as read.
+/// A parsed value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// See [`Kind::Address`].
@@ -43,90 +43,93 @@
     Name(String),
 }
 
-/// A directive.
+/// Definition of a directive.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
-    /// Its name.
+    /// Name of the directive.
     pub name: &'static str,
-    /// What it takes.
+    /// Type of its value.
     pub kind: Kind,
-    /// It may stand on several lines.
+    /// The directive may be given on several lines.
     pub repeats: bool,
-    /// A change of it needs a restart; all others are taken in on SIGHUP.
+    /// A change needs a restart; changes of all other directives take effect on SIGHUP.
     pub restart: bool,
-    /// What holds where it is absent; none: what it is for is off.
+    /// Value if the directive is absent; none if its feature is off then.
     pub default: Option<&'static str>,
-    /// An example of what follows it.
+    /// Example of a value.
     pub example: &'static str,
-    /// What it is for.
+    /// Description in the shipped file.
     pub about: &'static str,
 }
 
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3600 * SECOND;
 
+/// A directive that is given once at most, needs no restart and has no default.
 const fn key(name: &'static str, kind: Kind, about: &'static str) -> Key {
     Key { name, kind, repeats: false, restart: false, default: None, example: "", about }
 }
 
 impl Key {
+    /// Sets the default, which serves as the example too.
     const fn or(self, default: &'static str) -> Key {
         Key { default: Some(default), example: default, ..self }
     }
 
+    /// Sets the example.
     const fn like(self, example: &'static str) -> Key {
         Key { example, ..self }
     }
 }
 
-/// Parts of the file, with the directives of each.
+/// Sections of the file: the heading and the directives of each.
 pub const PARTS: [(&str, &[Key]); 7] = [
     (
-        "Exchange of knowledge between routers, on TCP with mutual TLS 1.3. A router gives when 'exchange-listen' is\n\
-         set and asks when there are donors; both need the three files that 'silverspindle keys' makes.",
+        "Exchange of knowledge between routers, over TCP with mutual TLS 1.3. A router gives if 'exchange-listen' is set\n\
+         and asks if there are donors; both need the three files that 'silverspindle keys' creates.",
         &[
             Key {
                 restart: true,
-                ..key("exchange-listen", Kind::Address, "Where other routers ask this one for what it knows.")
+                ..key("exchange-listen", Kind::Address, "Address on which this router gives its knowledge to others.")
                     .like("127.0.0.1:7465")
             },
-            key("exchange-authority", Kind::Path, "Certificate of the authority that signs all routers of an office.")
+            key("exchange-authority", Kind::Path, "Certificate of the authority that signs the certificates of all routers of an office.")
                 .like("/etc/silverspindle/authority.pem"),
-            key("exchange-certificate", Kind::Path, "This router's certificate.").like("/etc/silverspindle/n1.pem"),
-            key("exchange-key", Kind::Path, "The key of that certificate; readable by the router alone.")
+            key("exchange-certificate", Kind::Path, "Certificate of this router.").like("/etc/silverspindle/n1.pem"),
+            key("exchange-key", Kind::Path, "Private key of that certificate; must be readable by the router only.")
                 .like("/etc/silverspindle/n1.key"),
             Key {
                 repeats: true,
                 ..key(
                     "donor",
                     Kind::Peer,
-                    "A router to ask after a start: the name in its certificate, and where it listens. One a line.",
+                    "A router to ask after a start: the name in its certificate, and its address. One per line.",
                 )
                 .like("n2 127.0.0.2:7465")
             },
-            key("donors-at-once", Kind::Count(1, 8), "So many are asked at a time.").or("2"),
-            key("ask-for", Kind::Duration(SECOND, HOUR), "For so long after its start a router goes on asking.").or("30s"),
-            key("give-rate", Kind::Size(1000, 1 << 30), "Bytes a second that a donor gives to all newcomers together.")
+            key("donors-at-once", Kind::Count(1, 8), "Largest number of donors asked at a time.").or("2"),
+            key("ask-for", Kind::Duration(SECOND, HOUR), "Time after its start during which a router asks donors.").or("30s"),
+            key("give-rate", Kind::Size(1000, 1 << 30), "Bytes per second that a donor gives to all newcomers together.")
                 .or("4MB"),
-            key("give-newcomers", Kind::Count(1, 64), "Newcomers that a donor serves at a time; others are told when to come back.")
+            key("give-newcomers", Kind::Count(1, 64), "Largest number of newcomers that a donor serves at a time; it tells others when to come back.")
                 .or("2"),
         ],
     ),
     (
-        "Snapshots, where the disk outlives the router: what it knew is read back at its start as one more donor's\n\
-         word, older by the time that it was away.",
+        "Snapshots, for a disk that outlives the router. At its start a router reads its last snapshot like the answer\n\
+         of one more donor, aged by the time that the router was down.",
         &[
             Key {
                 restart: true,
-                ..key("snapshot-directory", Kind::Path, "Where they are kept; off without.")
+                ..key("snapshot-directory", Kind::Path, "Directory of the snapshots.")
                     .like("/var/lib/silverspindle")
             },
-            key("snapshot-every", Kind::Duration(SECOND / 10, HOUR), "Time from one to the next.").or("5s"),
-            key("snapshot-size", Kind::Size(10_000, 1 << 30), "The largest that is written, and read back.").or("8MB"),
+            key("snapshot-every", Kind::Duration(SECOND / 10, HOUR), "Time between two snapshots.").or("5s"),
+            key("snapshot-size", Kind::Size(10_000, 1 << 30), "Largest snapshot that is written or read.").or("8MB"),
         ],
     ),
     (
-        "What the routers agree on. On where electors are named, by the same lines at every router; needs the three\n\
+        "Agreement between routers. On if electors are named, with the same lines at every router; needs the three\n\
          files of the exchange, and at an elector 'exchange-listen' and 'agree-directory'.",
         &[
             Key {
@@ -135,13 +138,13 @@
                 ..key(
                     "agree-elector",
                     Kind::Peer,
-                    "A router that votes: the name in its certificate, and its exchange-listen. 1, 3 or 5 of them.",
+                    "A router that votes: the name in its certificate, and its exchange-listen. There must be 1, 3 or 5.",
                 )
                 .like("n1 127.0.0.1:7465")
             },
             Key {
                 restart: true,
-                ..key("agree-directory", Kind::Path, "Where an elector keeps term, vote and log; a lasting disk.")
+                ..key("agree-directory", Kind::Path, "Directory in which an elector keeps its term, vote and log, on a disk that outlives the router.")
                     .like("/var/lib/silverspindle")
             },
             Key {
@@ -149,39 +152,39 @@
                 ..key(
                     "agree-within",
                     Kind::Duration(SECOND / 2, HOUR / 60),
-                    "Nobody acts on an overtaken decision for longer; the same at every router.",
+                    "Longest time for which a router acts on a decision that has been replaced; the same at every router.",
                 )
                 .or("2s")
             },
             Key {
                 repeats: true,
                 restart: true,
-                ..key("agree-operator", Kind::Name, "A certificate's name that may propose what it likes.").like("staff")
+                ..key("agree-operator", Kind::Name, "Name of a certificate that may make any proposal.").like("staff")
             },
             Key {
                 restart: true,
-                ..key("agree-callers", Kind::Count(1, 8192), "Connections of followers and operators that an elector holds.")
+                ..key("agree-callers", Kind::Count(1, 8192), "Largest number of connections of followers and operators at an elector.")
                     .or("128")
             },
             Key {
                 restart: true,
-                ..key("agree-records", Kind::Path, "Writes what it acted on, a JSON line each, for a later check.")
+                ..key("agree-records", Kind::Path, "File in which the router records what it acted on, one JSON line each, for a later check.")
                     .like("/var/log/silverspindle/acts.json")
             },
         ],
     ),
     (
-        "Taking machines out for work, in an order that the routers settle; on top of what they agree on, with the same\n\
-         lines at every router.",
+        "Taking machines out for work, in an order that the routers agree on; needs the agreement, with the same lines\n\
+         at every router.",
         &[
             Key {
                 restart: true,
-                ..key("work-out", Kind::Count(1, 64), "So many machines of a place may be out at a time; off without.")
+                ..key("work-out", Kind::Count(1, 64), "Largest number of machines of a place that may be out at a time.")
                     .like("2")
             },
             Key {
                 restart: true,
-                ..key("work-headroom", Kind::Count(0, 400), "A place keeps its load and so much more, in per cent.")
+                ..key("work-headroom", Kind::Count(0, 400), "Capacity that a place keeps beyond its load, in per cent of the load.")
                     .or("25")
             },
             Key {
@@ -189,33 +192,33 @@
                 ..key(
                     "work-alone",
                     Kind::Choice(&["stop", "hold"]),
-                    "What a router does whose confirmation has run out: take no new work, or serve on and hold all work up.",
+                    "What a router does if its confirmation has expired: accept no new requests, or keep serving and hold up all work.",
                 )
                 .or("stop")
             },
         ],
     ),
     (
-        "Settings and lists with versions on which the routers agree ('silverspindle fleet rules'); on top of what they\n\
-         agree on, with the same line at every router.",
+        "Versioned settings and lists that the routers agree on ('silverspindle fleet rules'); needs the agreement, with\n\
+         the same line at every router.",
         &[
             Key {
                 restart: true,
-                ..key("agree-rules", Kind::Choice(&["on", "off"]), "Whether this router acts by them.").or("off")
+                ..key("agree-rules", Kind::Choice(&["on", "off"]), "Whether this router applies them.").or("off")
             },
             Key {
                 restart: true,
                 ..key(
                     "rules-least-fills",
                     Kind::Count(0, 10_000_000),
-                    "A version whose limit of fills at the head office is lower this router can't carry: it holds the change up.",
+                    "Smallest limit of fills at the head office that this router can work with; it holds up a version with a lower one.",
                 )
                 .or("0")
             },
         ],
     ),
     (
-        "Purges and list events over relays in place of the coordinator's own feed to each router. On where 'relay-role' is\n\
+        "Purges and list events over relays instead of a feed of the coordinator to each router. On if 'relay-role' is\n\
          given; needs the three files of the exchange, and at a source or relay 'exchange-listen'.",
         &[
             Key {
@@ -223,7 +226,7 @@
                 ..key(
                     "relay-role",
                     Kind::Choice(&["source", "relay", "router"]),
-                    "A source follows the coordinator, a relay passes on what a parent tells, a router has a parent alone.",
+                    "A source follows the coordinator, a relay has a parent and passes the log on, a router only has a parent.",
                 )
                 .like("relay")
             },
@@ -233,7 +236,7 @@
                 ..key(
                     "relay-parent",
                     Kind::Peer,
-                    "A source or relay to take the log from: the name in its certificate, and its exchange-listen; the preferred one first.",
+                    "A source or relay to take the log from: the name in its certificate, and its exchange-listen; in order of preference.",
                 )
                 .like("r1 127.0.0.1:7465")
             },
@@ -243,7 +246,7 @@
                 ..key(
                     "relay-source",
                     Kind::Peer,
-                    "For staff: whom 'fleet purge status' asks. All sources, as each knows its own tree alone.",
+                    "For staff: the sources that 'fleet purge status' queries. All must be listed, as each knows only its own tree.",
                 )
                 .like("s1 127.0.0.1:7465")
             },
@@ -252,7 +255,7 @@
                 ..key(
                     "relay-within",
                     Kind::Duration(5 * SECOND / 2, HOUR / 60),
-                    "The lease: who has heard nothing for so long serves no copy that is older; the same at every router.",
+                    "The lease: a router without news for this long serves no copy that is older; the same at every router.",
                 )
                 .or("5s")
             },
@@ -261,13 +264,13 @@
                 ..key(
                     "relay-direct",
                     Kind::Duration(2 * SECOND, HOUR / 60),
-                    "The same for a router that reaches no parent and follows the coordinator; shorter than relay-within.",
+                    "The lease of a router that reaches no parent and follows the coordinator; must be shorter than relay-within.",
                 )
                 .or("3s")
             },
             Key {
                 restart: true,
-                ..key("relay-batch", Kind::Duration(SECOND / 20, 2 * SECOND), "Records are passed on at most so often.")
+                ..key("relay-batch", Kind::Duration(SECOND / 20, 2 * SECOND), "Shortest time between two batches of records that are passed on.")
                     .or("500ms")
             },
             Key {
@@ -275,7 +278,7 @@
                 ..key(
                     "relay-report",
                     Kind::Duration(SECOND / 10, HOUR / 240),
-                    "A parent is told so often what is applied; a quarter of relay-within at most.",
+                    "Time between two reports to a parent of what is applied; at most a quarter of relay-within.",
                 )
                 .or("1s")
             },
@@ -284,7 +287,7 @@
                 ..key(
                     "relay-children",
                     Kind::Count(1, 8192),
-                    "Connections that a source or relay takes, a descriptor each; a router takes none. 700 is 5,600 routers over eight of ten machines.",
+                    "Largest number of connections to a source or relay, one descriptor each; a router accepts none. 700 is enough for 5,600 routers over eight of ten machines.",
                 )
                 .or("700")
             },
@@ -293,24 +296,24 @@
                 ..key(
                     "relay-records",
                     Kind::Count(1000, 1 << 20),
-                    "Records kept for who comes back, who else gets what they come to; 65,536 are ten minutes at 110 a second.",
+                    "Number of records kept for children that reconnect; a child that misses older ones gets the resulting state. 65,536 are ten minutes at 110 per second.",
                 )
                 .or("65536")
             },
             Key {
                 restart: true,
-                ..key("relay-records-file", Kind::Path, "Writes what it applied and acted on, a JSON line each, for a later check.")
+                ..key("relay-records-file", Kind::Path, "File in which the router records what it applied and acted on, one JSON line each, for a later check.")
                     .like("/var/log/silverspindle/relay.json")
             },
         ],
     ),
     (
-        "How fast another router's word loses weight: after so long it counts half.",
+        "Half-lives of the knowledge from other routers: after this time it has half its weight.",
         &[
-            key("half-life-health", Kind::Duration(SECOND / 10, HOUR), "Faults, stalls, members set aside.").or("5s"),
-            key("half-life-pace", Kind::Duration(SECOND / 10, HOUR), "Limits of what may be out to a member.").or("10s"),
-            key("half-life-rates", Kind::Duration(SECOND / 10, HOUR), "What warm members take.").or("60s"),
-            key("half-life-filter", Kind::Duration(SECOND / 10, HOUR), "Which objects were asked for lately.").or("60s"),
+            key("half-life-health", Kind::Duration(SECOND / 10, HOUR), "Faults, stalls and members set aside.").or("5s"),
+            key("half-life-pace", Kind::Duration(SECOND / 10, HOUR), "Limits of attempts in flight to a member.").or("10s"),
+            key("half-life-rates", Kind::Duration(SECOND / 10, HOUR), "Sending time per second that warm members take.").or("60s"),
+            key("half-life-filter", Kind::Duration(SECOND / 10, HOUR), "Objects that were requested lately.").or("60s"),
         ],
     ),
 ];
@@ -320,98 +323,104 @@
     PARTS.iter().flat_map(|(_, keys)| keys.iter())
 }
 
-/// The directive of this name.
+/// The directive with this name.
 pub fn named(name: &str) -> Option<&'static Key> {
     all().find(|key| key.name == name)
 }
 
-/// What was given, by name, with the lines.
+/// Values given in the file, by directive name, with their line numbers.
 pub type Given = BTreeMap<&'static str, Vec<(usize, Value)>>;
 
-/// Checks each directive by itself: is there one of the name, does it take these words, does it stand once.
+/// Checks each directive by itself: its name exists, its value is valid, and it is repeated only where that is allowed.
 pub fn check(directives: &[Directive], faults: &mut Vec<Fault>) -> Given {
     let mut given = Given::new();
     for d in directives {
         let mut fault = |problem: String| faults.push(Fault { line: d.line, key: d.key.clone(), problem });
         let Some(key) = named(&d.key) else {
             fault(match nearest(&d.key) {
-                Some(name) => format!("is no directive; did you mean {name}?"),
-                None => "is no directive".to_owned(),
+                Some(name) => format!("is not a directive; did you mean {name}?"),
+                None => "is not a directive".to_owned(),
             });
             continue;
         };
-        let before = given.entry(key.name).or_default();
-        match value(key.kind, &d.words) {
+        let values = given.entry(key.name).or_default();
+        match parse_value(key.kind, &d.words) {
             Err(problem) => fault(problem),
-            Ok(_) if !key.repeats && !before.is_empty() => {
-                fault(format!("stands on line {} already", before[0].0));
+            Ok(_) if !key.repeats && !values.is_empty() => {
+                fault(format!("is set on line {} already", values[0].0));
             }
-            Ok(value) => before.push((d.line, value)),
+            Ok(value) => values.push((d.line, value)),
         }
     }
     given
 }
 
+/// The directive whose name is most similar to a misspelt one, if any is similar enough.
 fn nearest(name: &str) -> Option<&'static str> {
     let near = all().map(|key| (strsim::damerau_levenshtein(name, key.name), key.name)).min()?;
     (near.0 <= 3 && near.0 < near.1.len() / 2).then_some(near.1)
 }
 
-fn good_name(name: &str) -> Result<(), String> {
-    let good = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    match !name.is_empty() && name.len() <= 63 && name.chars().all(good) {
+/// Checks that a name may be in a certificate.
+fn check_name(name: &str) -> Result<(), String> {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    match !name.is_empty() && name.len() <= 63 && name.chars().all(allowed) {
         true => Ok(()),
-        false => Err(format!("{name:?} is no name: letters, digits, '-', '_', '.', 63 at most")),
+        false => {
+            Err(format!("{name:?} is not a name: letters, digits, '-', '_', '.', at most 63 characters"))
+        }
     }
 }
 
-fn value(kind: Kind, words: &[String]) -> Result<Value, String> {
+/// Parses the words behind a directive's name.
+fn parse_value(kind: Kind, words: &[String]) -> Result<Value, String> {
     let one = |what: &str| match words {
         [word] if !word.is_empty() => Ok(word.as_str()),
         [] => Err(format!("lacks {what}")),
         _ => Err(format!("takes {what} and nothing else")),
     };
     let address = |text: &str| {
-        text.parse().map_err(|_| format!("{text:?} is no address and port, as in 127.0.0.1:7465"))
-    };
-    let within = |n: u64, least: u64, most: u64, show: fn(u64) -> String| match (least..=most).contains(&n) {
-        true => Ok(Value::Number(n)),
-        false => Err(format!("must lie between {} and {}", show(least), show(most))),
+        text.parse().map_err(|_| format!("{text:?} is not an address and port, as in 127.0.0.1:7465"))
     };
+    let in_range =
+        |n: u64, min: u64, max: u64, format_bound: fn(u64) -> String| match (min..=max).contains(&n) {
+            true => Ok(Value::Number(n)),
+            false => Err(format!("must be between {} and {}", format_bound(min), format_bound(max))),
+        };
     match kind {
         Kind::Address => address(one("an address and a port")?).map(Value::Address),
         Kind::Path => one("a path").map(|p| Value::Path(p.into())),
-        Kind::Duration(least, most) => {
+        Kind::Duration(min, max) => {
             let text = one("a duration")?;
             let time = humantime::parse_duration(text)
-                .map_err(|_| format!("{text:?} is no duration, as in 200ms or 5s"))?;
-            within(u64::try_from(time.as_micros()).unwrap_or(u64::MAX), least, most, duration)
+                .map_err(|_| format!("{text:?} is not a duration, as in 200ms or 5s"))?;
+            in_range(u64::try_from(time.as_micros()).unwrap_or(u64::MAX), min, max, duration)
         }
-        Kind::Size(least, most) => {
+        Kind::Size(min, max) => {
             let text = one("a size")?;
             let size: bytesize::ByteSize =
-                text.parse().map_err(|_| format!("{text:?} is no size, as in 64MB or 512KiB"))?;
-            within(size.as_u64(), least, most, size_text)
+                text.parse().map_err(|_| format!("{text:?} is not a size, as in 64MB or 512KiB"))?;
+            in_range(size.as_u64(), min, max, size_text)
         }
-        Kind::Count(least, most) => {
+        Kind::Count(min, max) => {
             let text = one("a whole number")?;
-            let n = text.parse().map_err(|_| format!("{text:?} is no whole number"))?;
-            within(n, least, most, |n| n.to_string())
+            let n = text.parse().map_err(|_| format!("{text:?} is not a whole number"))?;
+            in_range(n, min, max, |n| n.to_string())
         }
         Kind::Choice(words) => {
             let word = one("a word")?;
             match words.contains(&word) {
                 true => Ok(Value::Name(word.to_owned())),
-                false => Err(format!("{word:?} is none of {}", words.join(", "))),
+                false => Err(format!("{word:?} is not one of {}", words.join(", "))),
             }
         }
         Kind::Name => {
             let name = one("a name")?;
-            good_name(name).map(|()| Value::Name(name.to_owned()))
+            check_name(name).map(|()| Value::Name(name.to_owned()))
         }
         Kind::Peer => match words {
             [name, at] => {
-                good_name(name)?;
+                check_name(name)?;
                 Ok(Value::Peer(name.clone(), address(at)?))
             }
             _ => Err("takes a name, then an address and a port".to_owned()),
@@ -419,12 +428,12 @@
     }
 }
 
-/// A duration as the file words it; read back it is the same to the microsecond.
+/// Formats a duration as the file writes it. Parsing it again yields the same number of microseconds.
 pub fn duration(time: Micros) -> String {
     humantime::format_duration(std::time::Duration::from_micros(time)).to_string().replace(' ', "")
 }
 
-/// A size as the file words it; read back it is the same to the byte.
+/// Formats a size as the file writes it. Parsing it again yields the same number of bytes.
 pub fn size_text(size: u64) -> String {
     [(1_000_000_000, "GB"), (1_000_000, "MB"), (1000, "kB")]
         .iter()
@@ -432,7 +441,7 @@
         .map_or_else(|| format!("{size}B"), |(unit, name)| format!("{}{name}", size / unit))
 }
 
-/// The words of a value, as the file would have them.
+/// Formats a value as the file writes it.
 pub fn words(kind: Kind, value: &Value) -> String {
     match (value, kind) {
         (Value::Address(a), _) => a.to_string(),
@@ -445,7 +454,7 @@
     }
 }
 
-/// The default of a directive that has one, as read from its text.
+/// The parsed default of a directive that has one.
 pub(crate) fn default(key: &Key) -> Option<Value> {
-    value(key.kind, &[key.default?.to_owned()]).ok()
+    parse_value(key.kind, &[key.default?.to_owned()]).ok()
 }
--- a/conf/src/lib.rs
+++ b/conf/src/lib.rs
@@ -1,11 +1,11 @@
-//! The operators' file: a directive a line, in the manner of classic daemons.
+//! Parser of the operators' file: one directive per line, in the style of classic daemons.
 //!
 //! ```
 //! let conf = silverspindle_conf::read("snapshot-directory /var/lib/silverspindle # lasting disk\n").unwrap();
 //! assert_eq!(conf.snapshot.unwrap().every, 5_000_000);
 //! let faults = silverspindle_conf::read("snapshot-evry 5s\nsnapshot-every 5 parsecs").unwrap_err();
 //! assert_eq!(faults.len(), 2);
-//! assert_eq!(faults[0].to_string(), "1: snapshot-evry: is no directive; did you mean snapshot-every?");
+//! assert_eq!(faults[0].to_string(), "1: snapshot-evry: is not a directive; did you mean snapshot-every?");
 //! ```
 
 pub mod grammar;
@@ -16,17 +16,17 @@
 
 pub use settings::*;
 
-/// Microseconds.
+/// A time or duration in microseconds.
 pub type Micros = u64;
 
-/// What is wrong with a line.
+/// A fault in the operators' file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The directive.
+    /// Name of the directive.
     pub key: String,
-    /// What is wrong, for a person.
+    /// Description of the problem, for people.
     pub problem: String,
 }
 
@@ -36,11 +36,11 @@
     }
 }
 
-/// Reads a file's text. All faults come together, in the order of their lines.
+/// Parses the text of an operators' file. An error holds all faults of the file, in the order of their lines.
 pub fn read(text: &str) -> Result<Conf, Vec<Fault>> {
     let (directives, mut faults) = grammar::directives(text);
     let given = keys::check(&directives, &mut faults);
-    let conf = settings::settle(&given, &mut faults);
+    let conf = settings::resolve(&given, &mut faults);
     if faults.is_empty() {
         return Ok(conf);
     }
--- a/conf/src/settings.rs
+++ b/conf/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the file comes to, and what the directives must be together.
+//! Settings that result from the operators' file, and the checks across directives.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,177 +8,181 @@
 use crate::keys::{self, Given, PARTS, Value};
 use crate::{Fault, Micros};
 
-/// All that the file says.
+/// The parsed operators' file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conf {
-    /// The exchange between routers; none: off.
+    /// Exchange of knowledge between routers; none if it is off.
     pub exchange: Option<Exchange>,
-    /// Snapshots; none: off.
+    /// Snapshots; none if they are off.
     pub snapshot: Option<Snapshot>,
-    /// What the routers agree on; none: off.
+    /// Agreement between routers; none if it is off.
     pub agreement: Option<Agreement>,
-    /// Purges and list events over relays; none: off.
+    /// Purges and list events over relays; none if they are off.
     pub relay: Option<Relay>,
-    /// For staff: the sources, and the files to ask them with; none: no source is named.
+    /// For staff: the sources and the files to connect to them with; none if the file names no source.
     pub sources: Option<Sources>,
-    /// How fast another's word loses weight.
+    /// Half-lives of the knowledge from other routers.
     pub half_lives: HalfLives,
+    /// Directives as given in the file.
     given: Given,
 }
 
 impl Default for Conf {
-    /// An empty file: all off.
+    /// The settings of an empty file: everything is off.
     fn default() -> Self {
-        settle(&Given::new(), &mut Vec::new())
+        resolve(&Given::new(), &mut Vec::new())
     }
 }
 
-/// The exchange between routers.
+/// Exchange of knowledge between routers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exchange {
-    /// Where this one gives; none: it only asks.
+    /// Address on which this router serves others; none if it only asks.
     pub listen: Option<SocketAddr>,
     /// PEM files.
     pub files: Files,
-    /// Whom it asks, by the name in their certificates; none: it only gives.
+    /// Donors to ask, with the names in their certificates; none if this router only gives.
     pub donors: Vec<(String, SocketAddr)>,
-    /// So many at a time.
+    /// Largest number of donors to ask at a time.
     pub at_once: usize,
-    /// For so long after its start.
+    /// Time after its start during which this router asks donors, in microseconds.
     pub ask_for: Micros,
-    /// Bytes a second that it gives to all.
+    /// Bytes per second that this router gives to all newcomers together.
     pub give_rate: u64,
-    /// Newcomers that it serves at a time.
+    /// Largest number of newcomers that this router serves at a time.
     pub newcomers: usize,
 }
 
-/// The PEM files of one router.
+/// Paths of a router's PEM files.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Files {
-    /// The authority's certificate.
+    /// Certificate of the authority.
     pub authority: PathBuf,
-    /// The router's certificate.
+    /// Certificate of the router.
     pub certificate: PathBuf,
-    /// Its key.
+    /// Private key of the router.
     pub key: PathBuf,
 }
 
-/// Snapshots on a lasting disk.
+/// Snapshots on a disk that outlives the router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// Where.
+    /// Directory of the snapshots.
     pub directory: PathBuf,
-    /// Time from one to the next.
+    /// Time between two snapshots, in microseconds.
     pub every: Micros,
-    /// The largest, in bytes.
+    /// Largest snapshot, in bytes.
     pub most: u64,
 }
 
-/// What the routers agree on.
+/// Agreement between routers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Agreement {
-    /// Who votes, by the names in their certificates.
+    /// Voting routers, with the names in their certificates.
     pub electors: Vec<(String, SocketAddr)>,
-    /// PEM files, the exchange's.
+    /// PEM files, shared with the exchange.
     pub files: Files,
-    /// Where an elector keeps its log.
+    /// Directory in which an elector keeps its log.
     pub directory: Option<PathBuf>,
-    /// The stated time.
+    /// Longest time for which a router acts on a decision that has been replaced, in microseconds.
     pub within: Micros,
-    /// Certificates' names that may propose anything.
+    /// Names of certificates that may make any proposal.
     pub operators: Vec<String>,
-    /// Connections of others that an elector holds.
+    /// Largest number of connections of followers and operators at an elector.
     pub callers: usize,
-    /// Where its acts are written.
+    /// File in which this router records what it acted on.
     pub records: Option<PathBuf>,
-    /// Taking machines out for work; none: off.
+    /// Taking machines out for work; none if it is off.
     pub work: Option<Work>,
-    /// Settings and lists with versions; none: off.
+    /// Versioned settings and lists; none if they are off.
     pub rules: Option<Rules>,
 }
 
-/// Settings and lists with versions.
+/// Versioned settings and lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rules {
-    /// A lower limit of fills at the head office can't be carried.
+    /// Smallest limit of fills at the head office that this router can work with.
     pub least_fills: u64,
-    /// What this file says of half-lives, which an agreed version may overrule, and on which lines.
+    /// Half-lives in this file, which an agreed version may override.
     pub half_lives: HalfLives,
-    /// See `half_lives`.
+    /// Line numbers of the half-life directives in this file, by name.
     pub lines: BTreeMap<&'static str, usize>,
 }
 
-/// What a router is in the tree over which purges and list events come.
+/// Role of a router in the tree that distributes purges and list events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayRole {
-    /// It follows the coordinator and passes its events on.
+    /// Follows the coordinator and passes its events on.
     Source,
-    /// It has a parent and passes the log on.
+    /// Takes the log from a parent and passes it on.
     Relay,
-    /// It has a parent.
+    /// Takes the log from a parent.
     Router,
 }
 
 /// Purges and list events over relays.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Relay {
-    /// What this router is.
+    /// Role of this router.
     pub role: RelayRole,
-    /// PEM files, the exchange's.
+    /// PEM files, shared with the exchange.
     pub files: Files,
-    /// Parents by the names in their certificates, the preferred one first.
+    /// Parents with the names in their certificates, in order of preference.
     pub parents: Vec<(String, SocketAddr)>,
-    /// The lease.
+    /// Lease of a router that has a parent, in microseconds.
     pub within: Micros,
-    /// The lease of a router that follows the coordinator itself.
+    /// Lease of a router that reaches no parent and follows the coordinator itself, in microseconds.
     pub direct: Micros,
-    /// Records are passed on at most so often.
+    /// Shortest time between two batches of records passed on, in microseconds.
     pub batch: Micros,
-    /// A parent is told so often.
+    /// Time between two reports to a parent, in microseconds.
     pub report: Micros,
-    /// Children that it takes; 0 at a router.
+    /// Largest number of children; 0 for a router.
     pub children: usize,
-    /// Records that it keeps.
+    /// Largest number of records kept.
     pub records: usize,
-    /// Where its acts are written.
+    /// File in which this router records what it applied and acted on.
     pub records_file: Option<PathBuf>,
 }
 
-/// Whom staff ask how far a purge has come.
+/// Sources that staff query for the progress of a purge.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sources {
-    /// All sources, by the names in their certificates.
+    /// All sources, with the names in their certificates.
     pub sources: Vec<(String, SocketAddr)>,
-    /// PEM files, the exchange's.
+    /// PEM files, shared with the exchange.
     pub files: Files,
 }
 
 /// Taking machines out for work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Work {
-    /// Machines of a place that may be out at a time.
+    /// Largest number of machines of a place that may be out at a time.
     pub most_out: usize,
-    /// What a place keeps over its load, in thousandths.
+    /// Capacity that a place keeps beyond its load, in thousandths of the load.
     pub headroom: u64,
-    /// A router whose confirmation has run out serves on, and holds all work up.
+    /// A router whose confirmation has expired keeps serving and holds up all work, instead of accepting no new
+    /// requests.
     pub hold: bool,
 }
 
-/// After so long another's word counts half, by what it is about: the knowledge store's own terms.
+/// Half-lives of the knowledge from other routers, by subject; defined by the knowledge store.
 pub use silverspindle_knowledge::store::HalfLives;
 
-pub(crate) fn settle(given: &Given, faults: &mut Vec<Fault>) -> Conf {
-    let one = |name: &str| given.get(name).and_then(|all| all.first());
-    let number = |name: &str| match (one(name), keys::named(name).and_then(keys::default)) {
+/// Builds the settings from the given directives and their defaults, and adds the faults that show only across
+/// directives.
+pub(crate) fn resolve(given: &Given, faults: &mut Vec<Fault>) -> Conf {
+    let first = |name: &str| given.get(name).and_then(|all| all.first());
+    let number = |name: &str| match (first(name), keys::named(name).and_then(keys::default)) {
         (Some((_, Value::Number(n))), _) => *n,
         (None, Some(Value::Number(n))) => n,
         _ => 0,
     };
-    let address = |name: &str| match one(name) {
+    let address = |name: &str| match first(name) {
         Some((_, Value::Address(a))) => Some(*a),
         _ => None,
     };
-    let path = |name: &str| match one(name) {
+    let path = |name: &str| match first(name) {
         Some((_, Value::Path(p))) => Some(p.clone()),
         _ => None,
     };
@@ -187,7 +191,7 @@
         for (line, value) in given.get(key).map_or(&[][..], Vec::as_slice) {
             let Value::Peer(name, at) = value else { continue };
             if peers.iter().any(|(other, _)| other == name) {
-                let problem = format!("{name} stands there already");
+                let problem = format!("{name} is given twice");
                 faults.push(Fault { line: *line, key: key.to_owned(), problem });
             }
             peers.push((name.clone(), *at));
@@ -196,15 +200,15 @@
     };
     let (donors, electors) = (peers("donor"), peers("agree-elector"));
     let (parents, sources) = (peers("relay-parent"), peers("relay-source"));
-    let needs = one("exchange-listen").or(one("donor"));
-    let agrees = one("agree-elector");
-    if let Some((line, _)) = agrees.filter(|_| ![1, 3, 5].contains(&electors.len())) {
-        let problem = format!("{} of them stand there; 1, 3 or 5 can vote", electors.len());
+    let exchange = first("exchange-listen").or(first("donor"));
+    let agreement = first("agree-elector");
+    if let Some((line, _)) = agreement.filter(|_| ![1, 3, 5].contains(&electors.len())) {
+        let problem = format!("{} are given; there must be 1, 3 or 5", electors.len());
         faults.push(Fault { line: *line, key: "agree-elector".to_owned(), problem });
     }
-    let rules = one("agree-rules").filter(|(_, value)| *value == Value::Name("on".to_owned()));
-    if let Some((line, _)) = rules.filter(|_| agrees.is_none()) {
-        let problem = "needs agree-elector lines: versions are agreed".to_owned();
+    let rules = first("agree-rules").filter(|(_, value)| *value == Value::Name("on".to_owned()));
+    if let Some((line, _)) = rules.filter(|_| agreement.is_none()) {
+        let problem = "needs agree-elector lines: the routers agree on versions".to_owned();
         faults.push(Fault { line: *line, key: "agree-rules".to_owned(), problem });
     }
     let half_lives = HalfLives {
@@ -217,20 +221,20 @@
         .iter()
         .filter(|(key, _)| key.starts_with("half-life-"))
         .filter_map(|(key, all)| Some((*key, all.first()?.0)));
-    if let Some((line, _)) = one("work-out").filter(|_| agrees.is_none()) {
-        let problem = "needs agree-elector lines: the order of work is agreed".to_owned();
+    if let Some((line, _)) = first("work-out").filter(|_| agreement.is_none()) {
+        let problem = "needs agree-elector lines: the routers agree on the order of work".to_owned();
         faults.push(Fault { line: *line, key: "work-out".to_owned(), problem });
     }
     let files = ["exchange-authority", "exchange-certificate", "exchange-key"];
-    let relays = one("relay-role");
-    let role = relays.and_then(|(_, value)| match value {
+    let relay_role = first("relay-role");
+    let role = relay_role.and_then(|(_, value)| match value {
         Value::Name(name) if name == "source" => Some(RelayRole::Source),
         Value::Name(name) if name == "relay" => Some(RelayRole::Relay),
         Value::Name(_) => Some(RelayRole::Router),
         _ => None,
     });
-    relay_faults(given, role, &number, faults);
-    if let Some((line, _)) = needs.or(agrees).or(relays).or(one("relay-source")) {
+    check_relays(given, role, &number, faults);
+    if let Some((line, _)) = exchange.or(agreement).or(relay_role).or(first("relay-source")) {
         for missing in files.iter().filter(|name| path(name).is_none()) {
             let problem = format!("is missing: the exchange on line {line} needs it");
             faults.push(Fault { line: *line, key: (*missing).to_owned(), problem });
@@ -244,7 +248,7 @@
         _ => None,
     };
     Conf {
-        agreement: agrees.map(|_| Agreement {
+        agreement: agreement.map(|_| Agreement {
             electors,
             files: files.clone(),
             directory: path("agree-directory"),
@@ -252,10 +256,10 @@
             operators: operators.iter().filter_map(name).collect(),
             callers: number("agree-callers") as usize,
             records: path("agree-records"),
-            work: one("work-out").map(|_| Work {
+            work: first("work-out").map(|_| Work {
                 most_out: number("work-out") as usize,
                 headroom: 10 * number("work-headroom"),
-                hold: matches!(one("work-alone"), Some((_, Value::Name(word))) if word == "hold"),
+                hold: matches!(first("work-alone"), Some((_, Value::Name(word))) if word == "hold"),
             }),
             rules: rules.map(|_| Rules {
                 least_fills: number("rules-least-fills"),
@@ -263,7 +267,7 @@
                 lines: lines.collect(),
             }),
         }),
-        exchange: needs.map(|_| Exchange {
+        exchange: exchange.map(|_| Exchange {
             listen: address("exchange-listen"),
             files: files.clone(),
             donors,
@@ -295,8 +299,8 @@
     }
 }
 
-/// What the directives of the relays must be together.
-fn relay_faults(
+/// Checks the directives of the relays against each other.
+fn check_relays(
     given: &Given,
     role: Option<RelayRole>,
     number: &impl Fn(&str) -> u64,
@@ -307,10 +311,11 @@
         faults.push(Fault { line, key: key.to_owned(), problem: problem.to_owned() });
     };
     let Some((role, at)) = role.zip(line("relay-role")) else {
-        // Staff's own file names the sources and nothing else; what has a default stands in every file that is shown.
+        // A file of staff names the sources without a role. Directives with a default don't show that a role is wanted,
+        // as they are in every file that `show` writes.
         for (key, line) in ["relay-parent", "relay-records-file"].map(|key| (key, line(key))) {
             if let Some(line) = line {
-                fault(line, key, "needs relay-role: this router takes no part without");
+                fault(line, key, "needs relay-role: without a role this router has no part in the relays");
             }
         }
         return;
@@ -332,21 +337,21 @@
         fault(at, "relay-role", "needs exchange-listen: others take the log from a source or relay there");
     }
     let [within, direct, report] = ["relay-within", "relay-direct", "relay-report"].map(number);
-    // A duration out of its bounds has its fault already; its default is no reason for another.
+    // A duration out of its bounds is reported already; the default in its place should cause no second fault.
     let line_of = |keys: [&str; 2]| keys.into_iter().filter_map(line).max().unwrap_or(at);
     if direct >= within {
         let problem =
-            "must be shorter than relay-within: nobody counts a router that follows the coordinator";
+            "must be shorter than relay-within: no parent counts a router that follows the coordinator";
         fault(line_of(["relay-direct", "relay-within"]), "relay-direct", problem);
     }
     if report > within / 4 {
-        let problem = "must be a quarter of relay-within at most: its age adds up from parent to child";
+        let problem = "must be at most a quarter of relay-within: its age adds up from parent to child";
         fault(line_of(["relay-report", "relay-within"]), "relay-report", problem);
     }
 }
 
 impl Conf {
-    /// The file in effect, defaults filled in; read back it comes to the same settings.
+    /// The settings in effect as a file, with defaults filled in. Parsing it again yields the same settings.
     pub fn show(&self) -> String {
         let mut out = String::new();
         for key in keys::all() {
@@ -362,7 +367,7 @@
         out
     }
 
-    /// Directives that differ in the other file and need a restart to take effect.
+    /// Names of directives that differ in the other file and need a restart to take effect.
     pub fn need_restart(&self, other: &Conf) -> Vec<&'static str> {
         let values = |conf: &Conf, key: &keys::Key| -> Vec<Value> {
             let given = conf.given.get(key.name).map(|all| all.iter().map(|(_, v)| v.clone()).collect());
@@ -373,17 +378,17 @@
     }
 }
 
-/// The file as shipped: every directive documented and commented out.
+/// Text of the shipped file: every directive, documented and commented out.
 pub fn shipped() -> String {
     let mut out =
-        "# The operators' file of silverspindle. Named by --conf FILE or LB_CONF; what is absent is off.\n\
-         # A directive a line; '#' begins a comment; quotes as in a shell; units as in 200ms, 5s, 64MB.\n\
-         # Check it: silverspindle check-conf FILE. See what holds: silverspindle show-conf FILE.\n"
+        "# The operators' file of silverspindle, given by --conf FILE or LB_CONF. Features without directives are off.\n\
+         # One directive per line; '#' begins a comment; quotes as in a shell; units as in 200ms, 5s, 64MB.\n\
+         # Check a file: silverspindle check-conf FILE. Show the settings in effect: silverspindle show-conf FILE.\n"
             .to_owned();
     for (about, keys) in PARTS {
         let _ = write!(out, "\n# ---- {}\n", about.replace('\n', "\n#      "));
         for key in keys {
-            let default = key.default.map_or("Off without.".to_owned(), |d| format!("Without it: {d}."));
+            let default = key.default.map_or("Off if absent.".to_owned(), |d| format!("Default: {d}."));
             let restart = if key.restart { " A change needs a restart." } else { "" };
             let _ = write!(out, "\n# {} {default}{restart}\n#{} {}\n", key.about, key.name, key.example);
         }
--- a/conf/tests/conf.rs
+++ b/conf/tests/conf.rs
@@ -1,4 +1,4 @@
-//! The operators' file: what is read, what is refused, and that what is shown reads back.
+//! Tests of the operators' file: parsing, faults, and that the shown file parses to the same settings.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngSeed};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_is_agreed_needs_its_electors_and_files() {
+fn agreement_needs_electors_and_the_files_of_the_exchange() {
     let files = "exchange-authority a\nexchange-certificate c\nexchange-key k\n";
     let conf =
         read(&format!("{files}agree-elector n1 127.0.0.1:1\nagree-operator staff\nwork-out 2\n")).unwrap();
@@ -36,18 +36,19 @@
     assert_eq!(agreement.work, Some(Work { most_out: 2, headroom: 250, hold: false }));
     assert_eq!(conf.exchange, None);
     let two = format!("{files}agree-elector n1 127.0.0.1:1\nagree-elector n2 127.0.0.1:2\n");
-    assert_eq!(faults(&two), ["4: agree-elector: 2 of them stand there; 1, 3 or 5 can vote"]);
+    assert_eq!(faults(&two), ["4: agree-elector: 2 are given; there must be 1, 3 or 5"]);
     assert_eq!(
         faults("work-out 2\n"),
-        ["1: work-out: needs agree-elector lines: the order of work is agreed"]
+        ["1: work-out: needs agree-elector lines: the routers agree on the order of work"]
     );
     assert_eq!(faults("agree-elector n1 127.0.0.1:1\n").len(), 3, "the three files");
-    assert_eq!(faults("agree-within 100ms\n"), ["1: agree-within: must lie between 500ms and 1m"]);
+    assert_eq!(faults("agree-within 100ms\n"), ["1: agree-within: must be between 500ms and 1m"]);
 }
 
-/// Guards against a tree in which nobody has the log, or in which a lease ends before its answers come.
+/// Guards against a tree in which no router has the log, or in which leases expire before the reports that renew them
+/// arrive.
 #[test]
-fn a_role_among_relays_needs_what_carries_it() {
+fn a_relay_role_needs_its_parents_listener_files_and_times() {
     let files = "exchange-authority a\nexchange-certificate c\nexchange-key k\n";
     let read_with = |more: &str| read(&format!("{files}{more}"));
     let found = |more: &str| {
@@ -87,25 +88,25 @@
         ["4 relay-parent", "5 relay-records-file"]
     );
     assert_eq!(faults("relay-role router\nrelay-parent r1 127.0.0.1:1\n").len(), 3, "the three files");
-    assert_eq!(faults("relay-role boss\n"), ["1: relay-role: \"boss\" is none of source, relay, router"]);
+    assert_eq!(faults("relay-role boss\n"), ["1: relay-role: \"boss\" is not one of source, relay, router"]);
 }
 
-/// Staff's own file takes no part: it names whom to ask.
+/// A file of staff names the sources to query, without a role in the relays.
 #[test]
-fn staff_name_the_sources_alone() {
+fn sources_can_be_named_without_a_relay_role() {
     let files = "exchange-authority a\nexchange-certificate c\nexchange-key k\n";
     let conf = read(&format!("{files}relay-source s1 127.0.0.1:1\nrelay-source s2 127.0.0.1:2\n")).unwrap();
     assert_eq!((conf.sources.unwrap().sources.len(), conf.relay), (2, None));
 }
 
-/// With one elector up each router of a full roll may be its caller.
+/// While only one elector is up, all routers of a roll of the largest size may connect to it.
 #[test]
 fn an_elector_can_hold_a_caller_for_each_router_of_a_full_roll() {
     let files =
         "exchange-authority a\nexchange-certificate c\nexchange-key k\nagree-elector n1 127.0.0.1:1\n";
     let conf = read(&format!("{files}agree-callers 8192\n")).unwrap();
     assert_eq!(conf.agreement.unwrap().callers, 8192);
-    assert_eq!(faults("agree-callers 8193\n"), ["1: agree-callers: must lie between 1 and 8192"]);
+    assert_eq!(faults("agree-callers 8193\n"), ["1: agree-callers: must be between 1 and 8192"]);
 }
 
 #[test]
@@ -130,30 +131,30 @@
 }
 
 #[test]
-fn all_faults_come_at_once_with_line_and_key() {
+fn all_faults_are_reported_together_with_line_and_key() {
     let found = faults(
         "exchange-listen localhost\ndonr n2 127.0.0.2:1\nsnapshot-every 5 s\nsnapshot-every 0ms\n\
          give-newcomers many\ngive-newcomers 0\nask-for 'x\nsnapshot-size 12 MB\nsnapshot-size\n\
          donor n/2 127.0.0.1:1\ndonors-at-once 2\ndonors-at-once 3\nquux 1\n",
     );
     let expected = [
-        "1: exchange-listen: \"localhost\" is no address and port, as in 127.0.0.1:7465",
-        "2: donr: is no directive; did you mean donor?",
+        "1: exchange-listen: \"localhost\" is not an address and port, as in 127.0.0.1:7465",
+        "2: donr: is not a directive; did you mean donor?",
         "3: snapshot-every: takes a duration and nothing else",
-        "4: snapshot-every: must lie between 100ms and 1h",
-        "5: give-newcomers: \"many\" is no whole number",
-        "6: give-newcomers: must lie between 1 and 64",
+        "4: snapshot-every: must be between 100ms and 1h",
+        "5: give-newcomers: \"many\" is not a whole number",
+        "6: give-newcomers: must be between 1 and 64",
         "7: ask-for: a quote is opened and not closed",
         "8: snapshot-size: takes a size and nothing else",
         "9: snapshot-size: lacks a size",
-        "10: donor: \"n/2\" is no name: letters, digits, '-', '_', '.', 63 at most",
-        "12: donors-at-once: stands on line 11 already",
-        "13: quux: is no directive",
+        "10: donor: \"n/2\" is not a name: letters, digits, '-', '_', '.', at most 63 characters",
+        "12: donors-at-once: is set on line 11 already",
+        "13: quux: is not a directive",
     ];
     assert_eq!(found, expected);
 }
 
-/// Guards against an exchange without its keys, which would be plain text or nothing.
+/// Guards against an exchange without keys, which would be unencrypted or fail.
 #[test]
 fn an_exchange_needs_its_three_files() {
     let found = faults("exchange-authority /a\ndonor n2 127.0.0.1:1\ndonor n2 127.0.0.1:2");
@@ -162,13 +163,13 @@
         [
             "2: exchange-certificate: is missing: the exchange on line 2 needs it",
             "2: exchange-key: is missing: the exchange on line 2 needs it",
-            "3: donor: n2 stands there already",
+            "3: donor: n2 is given twice",
         ]
     );
 }
 
 #[test]
-fn what_is_shown_reads_back_to_the_same() {
+fn the_shown_file_parses_to_the_same_settings() {
     for text in ["", FULL] {
         let conf = read(text).unwrap();
         let again = read(&conf.show()).unwrap();
@@ -183,9 +184,9 @@
     assert_eq!(read(FULL).unwrap().need_restart(&moved), ["exchange-listen"]);
 }
 
-/// The shipped file documents every directive, turns nothing on, and holds good examples.
+/// The shipped file documents every directive, turns nothing on, and its examples are valid.
 #[test]
-fn the_shipped_file_is_written_from_the_table() {
+fn the_shipped_file_is_generated_from_the_table() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/silverspindle.conf");
     assert_eq!(std::fs::read_to_string(path).unwrap(), shipped());
     assert_eq!(read(&shipped()).unwrap(), Conf::default());
@@ -202,18 +203,18 @@
 proptest! {
     #![proptest_config(Cases { failure_persistence: None, rng_seed: RngSeed::Fixed(8), ..Cases::default() })]
 
-    /// Guards against a panic on any text; and against a fault without its line.
+    /// Guards against a panic on any text, and against a fault without a valid line number.
     #[test]
-    fn any_text_is_read_or_refused(text in "(([a-z-]{1,12}|donor|snapshot-every|'|\"|#|\\\\| |[0-9]{1,22}(ms|s|MB|h)?|\\PC|\n){0,40})") {
+    fn any_text_parses_or_yields_faults_with_lines(text in "(([a-z-]{1,12}|donor|snapshot-every|'|\"|#|\\\\| |[0-9]{1,22}(ms|s|MB|h)?|\\PC|\n){0,40})") {
         if let Err(faults) = read(&text) {
             prop_assert!(!faults.is_empty());
             prop_assert!(faults.iter().all(|f| f.line >= 1 && f.line <= text.lines().count().max(1)));
         }
     }
 
-    /// Any duration and size within the bounds is shown exactly.
+    /// Any duration and size within the bounds is formatted exactly.
     #[test]
-    fn durations_and_sizes_are_exact(every in 100_000u64..3_600_000_000, most in 10_000u64..1 << 30) {
+    fn shown_durations_and_sizes_are_exact(every in 100_000u64..3_600_000_000, most in 10_000u64..1 << 30) {
         let text = format!("snapshot-directory /d\nsnapshot-every {every}us\nsnapshot-size {most}");
         let conf = read(&text).unwrap();
         prop_assert_eq!(conf.snapshot.clone().unwrap().every, every);
--- a/silverspindle/tests/cli.rs
+++ b/silverspindle/tests/cli.rs
@@ -42,8 +42,8 @@
     let checked = run(&["check-conf", file], None);
     let said = String::from_utf8_lossy(&checked.stderr).into_owned();
     let expected = format!(
-        "{file}:2: snapshot-every: \"never\" is no duration, as in 200ms or 5s\n\
-         {file}:3: snapshot-siez: is no directive; did you mean snapshot-size?\n"
+        "{file}:2: snapshot-every: \"never\" is not a duration, as in 200ms or 5s\n\
+         {file}:3: snapshot-siez: is not a directive; did you mean snapshot-size?\n"
     );
     assert_eq!((checked.status.code(), said.as_str()), (Some(1), expected.as_str()));
     let (_coordinator, address) = common::listen();
@@ -168,7 +168,8 @@
     write(r#"{"name": "n0"}"#.to_owned());
     std::fs::write(&conf, "\nsnapshot-evry 5s\n").unwrap();
     signal("-HUP");
-    let fault = format!("{}:2: snapshot-evry: is no directive; did you mean snapshot-every?", conf.display());
+    let fault =
+        format!("{}:2: snapshot-evry: is not a directive; did you mean snapshot-every?", conf.display());
     assert!(lines.any(|l| l.contains(&fault)));
     assert!(lines.any(|l| l.contains("the old operators' file is kept")));
     assert!(lines.any(|l| l.contains("configuration: listen: is missing; the old configuration is kept")));
