--- a/silverspindle/tests/codecs.rs
+++ b/silverspindle/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! The parsers against random cuts of valid messages and random garbage, from a fixed seed.
+//! Tests of the decoders with valid messages split at random points and with random garbage, from a fixed seed.
 
 mod common;
 
@@ -31,7 +31,7 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn calls_survive_any_cuts(
+    fn calls_decode_however_they_are_split(
         fields in prop::collection::vec(("[a-z]{0,9}", "[ -~]{0,20}"), 0..9),
         body in prop::collection::vec(any::<u8>(), 0..300),
         seq in any::<i32>(),
@@ -48,7 +48,7 @@
     }
 
     #[test]
-    fn answers_survive_any_cuts(
+    fn answers_decode_however_they_are_split(
         id in "[0-9a-f]{16}",
         body in prop::collection::vec(any::<u8>(), 0..300),
         sizes in sizes(),
@@ -67,7 +67,7 @@
     }
 
     #[test]
-    fn events_survive_any_cuts(id in any::<u32>(), weight in any::<u32>(), at in any::<u32>(), sizes in sizes()) {
+    fn events_decode_however_they_are_split(id in any::<u32>(), weight in any::<u32>(), at in any::<u32>(), sizes in sizes()) {
         let mut record = id.to_be_bytes().to_vec();
         record.extend([127, 0, 0, 9, 0x19, 0xa5, 1, 2, 1, 0, 5]);
         record.extend(weight.to_be_bytes());
@@ -88,10 +88,10 @@
         prop_assert_eq!(&events[2].news, &purge);
     }
 
-    /// Guards against a panic, or memory taken on the word of a length, on anything read from a socket: some
-    /// start as valid messages do, so that garbage gets past the first check.
+    /// Guards against a panic on input from a socket, and against memory allocated for a length that the input only
+    /// claims. Some inputs start like valid messages, so that the garbage gets past the first check.
     #[test]
-    fn garbage_is_an_error_or_waits(
+    fn garbage_is_an_error_or_an_incomplete_message(
         start in prop::sample::select(vec![&b""[..], b"\0\0\0\x20\x80\x01\0\x01", b"*4\r\n$3\r\n", b"\0\0\0\x24\0\0\0\0\0\0\0\x01"]),
         garbage in prop::collection::vec(any::<u8>(), 0..200),
         sizes in sizes(),
@@ -117,21 +117,22 @@
 }
 
 #[test]
-fn what_is_too_long_is_known_before_it_has_come() {
+fn too_long_messages_are_rejected_by_their_length() {
     assert!(thrift::measure(&[0, 1, 0, 1]).is_err());
     assert!(thrift::measure(&[0xff; 4]).is_err());
     assert!(resp::measure(b"*4\r\n$2\r\nab\r\n$3\r\nHIT\r\n$1\r\n-\r\n$999999\r\n").is_err());
     assert!(resp::measure(b"*4\r\n$-1\r\n").is_err());
     assert!(resp::measure(b"*123456789012").is_err());
     assert!(feed::measure(&[0, 0, 0, 8]).is_err());
-    // A map that says it has a billion entries, in a frame of a few bytes.
-    let lie = call(1, "serve", 1, &[13, 0, 1, 11, 11, 0x40, 0, 0, 0, 0]);
-    assert!(thrift::decode(&lie).is_err());
+    // A map that claims a billion entries, in a frame of a few bytes.
+    let false_count = call(1, "serve", 1, &[13, 0, 1, 11, 11, 0x40, 0, 0, 0, 0]);
+    assert!(thrift::decode(&false_count).is_err());
 }
 
-/// A request's time runs while it lies unread: what is said of its coming is no later than it came, however late it is read.
+/// Guards against a deadline that is too late because a request lay unread while its reader was busy: its arrival must
+/// be reported no later than it arrived, however late it is read.
 #[test]
-fn a_message_that_lay_unread_is_told_to_have_come_before_it_was_read() {
+fn the_arrival_time_of_a_message_includes_the_time_that_it_lay_unread() {
     run(async |_| {
         let (listener, address) = listen();
         let client = Async::<TcpStream>::connect(address).await.unwrap();
@@ -144,12 +145,12 @@
         assert!(first.unwrap().is_some() && messages.came() >= before, "read as it came");
         (&client).write_all(&wake).await.unwrap();
         let sent = clock::now();
-        // Its reader is busy elsewhere.
+        // The reader is busy elsewhere.
         server.readable().await.unwrap();
         Timer::after(Duration::from_millis(20)).await;
         assert!(messages.next().await.unwrap().is_some());
         assert!(messages.came() <= sent, "{} us after it was sent", messages.came() - sent);
-        // A connection that waited to be accepted.
+        // A connection that waited in the accept queue.
         let mut late = Messages::new(&server, thrift::measure, 4096).opened(before);
         (&client).write_all(&serve(3, &page("9b1f03aa5c7e2d43"), b"")).await.unwrap();
         server.readable().await.unwrap();
--- a/silverspindle/tests/common/mod.rs
+++ b/silverspindle/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! The shared helper: messages in random pieces, and a router between scripted parties on loopback.
+//! Shared helpers of the tests: messages in pieces, and a router between scripted clients, caches and a coordinator on
+//! loopback.
 #![allow(dead_code)]
 
 pub mod office;
@@ -26,18 +27,18 @@
 use silverspindle::thrift;
 use silverspindle_conf::Conf;
 
-/// Far more than any test takes.
-const HANGS: Duration = Duration::from_secs(60);
+/// Time after which a test counts as hanging; far more than any test takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub type Stream = Rc<Async<TcpStream>>;
 pub type Tasks = Rc<LocalExecutor<'static>>;
 
-/// The same cases at every run, and no file of past failures.
+/// Configuration of property tests: the same cases in every run, and no file of past failures.
 pub fn cases() -> Cases {
     Cases { cases: 256, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..Cases::default() }
 }
 
-/// Feeds bytes to a parser in pieces of these sizes, over and over, and collects what it splits off.
+/// Feeds bytes to a parser in pieces, cycling through these sizes, and collects the messages that it splits off.
 pub fn in_pieces(bytes: &[u8], sizes: &[usize], measure: Measure) -> Result<Vec<Bytes>, Malformed> {
     let (mut buffer, mut rest, mut found) = (BytesMut::new(), bytes, Vec::new());
     for size in sizes.iter().cycle() {
@@ -53,19 +54,19 @@
     Ok(found)
 }
 
-/// Runs a test on an executor; one that hangs fails.
+/// Runs a test on an executor and fails it if it hangs.
 pub fn run<T>(work: impl AsyncFnOnce(&Tasks) -> T) -> T {
     let tasks: Tasks = Rc::new(LocalExecutor::new());
     let hangs = async {
-        Timer::after(HANGS).await;
-        panic!("nothing comes any more")
+        Timer::after(TEST_TIMEOUT).await;
+        panic!("the test timed out")
     };
     async_io::block_on(tasks.run(futures_lite::future::or(work(&tasks), hangs)))
 }
 
-/// A loopback address of this test alone. Routers of tests that end, here or in another run beside this one, go on
-/// connecting to ports that they were told; on a shared address such a port may be this test's by then, and the
-/// stray connection be taken for a router's.
+/// A loopback address that only this test uses. After a test ends, its routers may keep connecting to their
+/// configured ports, also those of another test run on this machine. On a shared address such a port may belong to
+/// this test by then, and the stray connection would be mistaken for one of its own router.
 pub fn ip() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     thread_local!(static OWN: u32 = std::process::id() << 4 | NEXT.fetch_add(1, Ordering::Relaxed) & 15);
@@ -111,18 +112,19 @@
     Config::parse(&file.to_string(), &|_| None)
 }
 
-/// The fields of a copy: its tag and when the origin gave it out.
+/// Answer fields of a copy: its tag, the time at which the origin issued it, and a note.
 pub const NAMED: &str = "version=4be0c1927d55a6f3,stamp=1764576000123,why=warm";
 
-/// A command as a cache reads it: its strings.
+/// Strings of a command that a cache received.
 pub type Command = Vec<String>;
 
-/// A scripted cache: what it read, with the connection it came by; answers are written by the test.
+/// A scripted cache. It passes each command that it reads to the test, with the command's connection; the test writes
+/// the answers.
 pub struct Cache {
     pub address: SocketAddr,
     read: async_channel::Receiver<(Command, Stream)>,
     tell: async_channel::Sender<(Command, Stream)>,
-    /// Connections that the router has closed, by its port.
+    /// Connections that the router has closed, by the router's port.
     pub closed: async_channel::Receiver<u16>,
 }
 
@@ -149,12 +151,12 @@
         Self { address, read, tell: own, closed }
     }
 
-    /// Keeps a command for later: it comes behind those that wait.
+    /// Puts a command back behind those that wait.
     pub fn put_back(&self, command: (Command, Stream)) {
         self.tell.try_send(command).unwrap();
     }
 
-    /// The next command and where its answer goes.
+    /// The next command, and the connection for its answer.
     pub async fn next(&self) -> (Command, Stream) {
         self.read.recv().await.unwrap()
     }
@@ -204,7 +206,7 @@
     out.extend(text);
 }
 
-/// A frame of a client: a call (1) or a oneway (4) with these arguments, stop included.
+/// A frame of a client: a call (`kind` 1) or a oneway call (4) with these arguments, including the stop byte.
 pub fn call(kind: u8, name: &str, seq: i32, arguments: &[u8]) -> Vec<u8> {
     let mut out = vec![0x80, 1, 0, kind];
     text(&mut out, name.as_bytes());
@@ -247,7 +249,7 @@
     ]
 }
 
-/// An event of the coordinator.
+/// Encodes an event of the coordinator.
 pub fn event(index: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
     let mut out = (9 + payload.len() as u32).to_be_bytes().to_vec();
     out.extend(index.to_be_bytes());
@@ -256,7 +258,7 @@
     out
 }
 
-/// An entry of a whole or a partial list, as the coordinator writes it.
+/// Encodes a member's record in a whole or partial list of the coordinator.
 pub fn record(id: u32, state: u8, address: SocketAddr) -> Vec<u8> {
     let kind = if id == 99 { 2 } else { 0 };
     let mut r = id.to_be_bytes().to_vec();
@@ -278,7 +280,7 @@
 impl Client {
     pub async fn connect(tasks: &Tasks, address: SocketAddr) -> Self {
         let stream = Rc::new(Async::<TcpStream>::connect(address).await.unwrap());
-        // Answers are larger than what a router reads from clients.
+        // The limits of the router's own codec don't fit: answers are larger than what it reads from clients.
         let measure: Measure = |b| match b.first_chunk::<4>() {
             Some(length) => Ok(4 + u32::from_be_bytes(*length) as usize),
             None => Ok(4),
@@ -299,12 +301,12 @@
         (&*self.stream).write_all(bytes).await.unwrap();
     }
 
-    /// Writes no more.
+    /// Shuts down the writing side of the connection.
     pub fn hang_up(&self) {
         self.stream.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
 
-    /// The next answer; none when the router has closed the connection.
+    /// The next answer; none if the router has closed the connection.
     pub async fn next(&self) -> Option<Bytes> {
         self.answers.recv().await.ok()
     }
@@ -325,7 +327,7 @@
     head
 }
 
-/// The advice of a refusal; none if the answer is something else.
+/// Backoff advice of a refusal, in milliseconds; none if the answer is not a refusal with advice.
 pub fn advice(answer: &[u8], seq: i32) -> Option<u64> {
     let text = answer.strip_suffix(&[0, 0])?;
     let digits = text.iter().rev().take_while(|b| b.is_ascii_digit()).count();
@@ -333,12 +335,12 @@
     (answer == thrift::throttled(seq, Some(ms))).then_some(ms)
 }
 
-/// A router before these caches, with an origin that nobody listens for, and its coordinator's listener.
+/// A router with these caches and an origin that never answers, and the listener of its coordinator.
 pub fn router(tasks: &Tasks, caches: &[SocketAddr]) -> (Router, Async<TcpListener>) {
     small_router(tasks, caches, 1024)
 }
 
-/// The same with so many descriptors.
+/// As [`router`], with this limit of sockets.
 pub fn small_router(tasks: &Tasks, caches: &[SocketAddr], sockets: u64) -> (Router, Async<TcpListener>) {
     let (coordinator, address) = listen();
     let mut members: Vec<Value> = (1..).zip(caches).map(|(id, at)| entry(id, "box", *at)).collect();
@@ -348,7 +350,7 @@
     (Router::start(config(&file).unwrap(), Conf::default(), tasks).unwrap(), coordinator)
 }
 
-/// Two futures to their ends.
+/// Runs two futures to completion.
 pub async fn both<A, B>(a: impl Future<Output = A>, b: impl Future<Output = B>) -> (A, B) {
     futures_lite::future::zip(a, b).await
 }
--- a/silverspindle/tests/common/office.rs
+++ b/silverspindle/tests/common/office.rs
@@ -1,4 +1,4 @@
-//! Routers with keys of one office, each before its own coordinator.
+//! Routers with keys of one office, each with its own coordinator.
 
 use std::path::{Path, PathBuf};
 
@@ -8,7 +8,7 @@
 
 use super::*;
 
-/// A folder of keys for n0, n1 and more, new for each test.
+/// A folder with the keys of one office, for the routers n0 to n3; each test has its own.
 pub struct Office(pub PathBuf);
 
 impl Office {
@@ -49,7 +49,8 @@
     }
 }
 
-/// A port for a router that starts later, held for the test's life: other runs of these tests ask for ports too.
+/// An address with a free port for a router that starts later. The port is reserved until the test ends, as other
+/// runs of these tests allocate ports too.
 pub fn free() -> SocketAddr {
     static HELD: std::sync::Mutex<Vec<Port>> = std::sync::Mutex::new(Vec::new());
     let port = Port::hold(ip()).unwrap();
@@ -58,7 +59,7 @@
     address
 }
 
-/// A router of this name before these caches, with its coordinator's listener.
+/// A router with this name and these caches, and the listener of its coordinator.
 pub fn named(
     tasks: &Tasks,
     name: &str,
@@ -68,7 +69,7 @@
     named_with(tasks, name, caches, conf, |_| {})
 }
 
-/// The same with its configuration changed.
+/// As [`named`], with a change to the configuration.
 pub fn named_with(
     tasks: &Tasks,
     name: &str,
@@ -85,7 +86,7 @@
     (Router::start(config(&file).unwrap(), conf, tasks).unwrap(), coordinator)
 }
 
-/// A coordinator's connection, once its router has said what it has.
+/// Accepts the router's connection to the coordinator and reads the number of its last event.
 pub async fn feed(coordinator: &Async<std::net::TcpListener>) -> Async<std::net::TcpStream> {
     let mut feed = coordinator.accept().await.unwrap().0;
     feed.read_exact(&mut [0; 8]).await.unwrap();
--- a/silverspindle/tests/common/process.rs
+++ b/silverspindle/tests/common/process.rs
@@ -1,11 +1,11 @@
-//! The program as a process of its own, with its log and its second address.
+//! The router as a process of its own, with its log and its management address.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// It ends with the test, also with one that fails.
+/// Kills the process at the end of the test, also if the test fails.
 impl Drop for Router {
     fn drop(&mut self) {
         let _ = self.child.kill();
@@ -13,30 +13,32 @@
     }
 }
 
-/// So long a test waits for what must come at all; a failure guard, never the verdict.
+/// Longest wait for an event that must happen; it only ends failing tests, and no test asserts on it.
 pub const AT_MOST: Duration = Duration::from_secs(20);
 
-/// The program as a process.
+/// A router that runs as a process.
 pub struct Router {
-    /// It.
+    /// The process.
     pub child: Child,
-    /// What it logs from now on.
+    /// Log lines that were not read yet.
     pub lines: Box<dyn Iterator<Item = String> + Send>,
-    /// Its clients' address.
+    /// Address for clients.
     pub clients: SocketAddr,
-    /// Its second address.
+    /// Address for management.
     pub management: SocketAddr,
 }
 
+/// Starts a router with this configuration.
 pub fn start(file: &serde_json::Value, listen: &str) -> Router {
     start_in(file, listen, &std::env::temp_dir())
 }
 
+/// As [`start`], with this directory for temporary files.
 pub fn start_in(file: &serde_json::Value, listen: &str, directory: &std::path::Path) -> Router {
     start_with(file, listen, directory, &[])
 }
 
-/// The same with further variables.
+/// As [`start_in`], with further environment variables.
 pub fn start_with(
     file: &serde_json::Value,
     listen: &str,
@@ -67,7 +69,7 @@
     Router { child, lines, clients, management }
 }
 
-/// One call; the status code, and whether the router closed after it.
+/// Sends one HTTP request and returns the status code; checks that the response announces the close of the connection.
 pub fn call(address: SocketAddr, text: &str) -> u16 {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(AT_MOST)).unwrap();
@@ -78,14 +80,17 @@
     answer.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
 }
 
+/// Status code of the router's readiness check.
 pub fn ready(r: &Router) -> u16 {
     call(r.management, "GET /-/ready HTTP/1.1\r\nHost: r\r\n\r\n")
 }
 
+/// Status code of a PUT request to the management address.
 pub fn put(r: &Router, path: &str) -> u16 {
     call(r.management, &format!("PUT {path} HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n"))
 }
 
+/// Ends the router with SIGTERM and checks that it exits cleanly.
 pub fn end(mut r: Router) {
     assert!(Command::new("kill").arg(r.child.id().to_string()).status().unwrap().success());
     assert!(r.lines.any(|l| l.contains("ended: all is answered")));
--- a/silverspindle/tests/common/relays.rs
+++ b/silverspindle/tests/common/relays.rs
@@ -1,4 +1,5 @@
-//! What the tests of the distribution need: a coordinator with a log, a connection that can be cut, records read back.
+//! Helpers for tests of the distribution over relays: a coordinator with a log, connections that can be cut, and
+//! readers of record files and log lines.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -16,18 +17,18 @@
 use super::office::{Office, free, named};
 use super::*;
 
-/// A lease that ends soon.
+/// A lease that expires soon.
 pub const SHORT: &str = "2500ms";
-/// A lease that no test outlives, however slow the machine.
+/// A lease that does not expire during a test, however slow the machine.
 pub const LONG: &str = "1m";
 const TERMS: &str = "relay-direct 2s\nrelay-batch 50ms\nrelay-report 200ms\n";
 const LOOK: Duration = Duration::from_millis(10);
 
-/// Events from number 2 on, told to whoever asks, with the word that it is current each few turns.
+/// A coordinator with a log of events, numbered from 2 on. It sends them to each follower, with a repeated event that
+/// says that the follower is up to date.
 #[derive(Default)]
 pub struct Events {
-    told: RefCell<Vec<Vec<u8>>>,
-    /// Nothing more is told, not even that.
+    told: RefCell<Vec<Vec<u8
     pub silent: Cell<bool>,
 }
 
@@ -38,13 +39,13 @@
         self.told.borrow_mut().push(event(number, kind, payload));
     }
 
-    /// Adds a purge of an object, now.
+    /// Adds a purge of an object with the current time.
     pub fn purge(&self, object: u64) {
         let ms = silverspindle::clock::now() / 1000;
         self.tell(3, &[object.to_be_bytes(), ms.to_be_bytes()].concat());
     }
 
-    /// The coordinator of one router; gives how many follow it.
+    /// Serves the followers of one listener; returns their current number.
     pub fn serve(self: &Rc<Self>, tasks: &Tasks, listener: Async<TcpListener>) -> Rc<Cell<usize>> {
         let (open, own, all) = (Rc::new(Cell::new(0)), self.clone(), tasks.clone());
         let counted = open.clone();
@@ -86,11 +87,11 @@
     }
 }
 
-/// A way to an address that can be cut.
+/// A TCP proxy to an address whose connections can be cut.
 pub struct Gate {
-    /// Where it listens.
+    /// Address that the proxy listens on.
     pub address: SocketAddr,
-    /// Closed where it is cut.
+    /// Channel that is closed while the proxy is cut.
     open: Rc<RefCell<async_channel::Receiver<()>>>,
     held: RefCell<Option<async_channel::Sender<()>>>,
 }
@@ -103,7 +104,7 @@
         let accept = async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let open = state.borrow().clone();
-                // Who comes while it is cut is turned away.
+                // Connections that arrive while the proxy is cut are closed at once.
                 if !open.is_closed() {
                     all.spawn(async move { drop(pass(stream, target, open).await) }).detach();
                 }
@@ -115,11 +116,12 @@
         gate
     }
 
-    /// All connections end, and no new one is made.
+    /// Closes all connections and accepts no new one.
     pub fn cut(&self) {
         self.held.borrow_mut().take();
     }
 
+    /// Accepts connections again.
     pub fn mend(&self) {
         let (held, open) = async_channel::bounded(1);
         (*self.held.borrow_mut(), *self.open.borrow_mut()) = (Some(held), open);
@@ -137,26 +139,26 @@
     future::or(cut, future::or(there, back)).await.map(drop)
 }
 
-/// Where a router's records go.
+/// Path of a router's record file.
 pub fn records_path(office: &Office, name: &str) -> PathBuf {
     office.0.join(format!("{name}.records.json"))
 }
 
-/// The operators' file of a router with this role.
+/// Operators' file of a router with this lease and further directives.
 pub fn terms(office: &Office, name: &str, lease: &str, more: &str) -> silverspindle_conf::Conf {
     let records = records_path(office, name);
     let file = format!("{TERMS}relay-within {lease}\nrelay-records-file '{}'\n{more}", records.display());
     office.conf(name, &file)
 }
 
-/// Lines of a record file; half a line at its end is left out.
+/// Lines of a record file, without an incomplete last line.
 pub fn records(path: &Path) -> Vec<Value> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
     whole.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
 }
 
-/// Waits until a line is as wanted; gives all lines up to then.
+/// Waits until a line matches; returns all lines up to then.
 pub async fn until_record(path: &Path, good: impl Fn(&Value) -> bool) -> Vec<Value> {
     loop {
         let all = records(path);
@@ -167,7 +169,8 @@
     }
 }
 
-/// Waits until the log is applied up to a number, and checks that all of it was, once and in order, from number 1.
+/// Waits until the log is applied up to this number, and checks that every record from number 1 on was applied once
+/// and in order.
 pub async fn until_applied(path: &Path, number: u64) -> Vec<Value> {
     let all =
         until_record(path, |line| line["kind"] == "applied" && line["to"].as_u64() >= Some(number)).await;
@@ -179,7 +182,7 @@
     all
 }
 
-/// Waits until the latest word on the reading is this one.
+/// Waits until the latest mode in the records is this one.
 pub async fn until_mode(path: &Path, mode: &str) {
     loop {
         let all = records(path);
@@ -190,26 +193,26 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 pub async fn until(good: impl Fn() -> bool) {
     while !good() {
         Timer::after(LOOK).await;
     }
 }
 
-/// This thread's log lines.
+/// Captured log lines of this thread.
 #[derive(Clone, Default)]
 pub struct Lines(Arc<Mutex<Vec<u8>>>);
 
 impl Lines {
-    /// From now on, until the guard is dropped.
+    /// Captures log lines until the guard is dropped.
     pub fn capture() -> (Self, tracing::subscriber::DefaultGuard) {
         let lines = Self::default();
         let subscriber = tracing_subscriber::fmt().with_writer(lines.clone()).with_ansi(false).finish();
         (lines, tracing::subscriber::set_default(subscriber))
     }
 
-    /// Lines with these words.
+    /// Captured lines that contain these words.
     pub fn with(&self, words: &str) -> Vec<String> {
         let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
         text.lines().filter(|line| line.contains(words)).map(str::to_owned).collect()
@@ -235,7 +238,7 @@
     }
 }
 
-/// A source of this office before its coordinator.
+/// Starts a source of this office that follows a coordinator with these events; returns its address for children.
 pub fn source(tasks: &Tasks, office: &Office, lease: &str, events: &Rc<Events>) -> SocketAddr {
     let at = free();
     let conf =
@@ -245,7 +248,7 @@
     at
 }
 
-/// The file of a router with these parents.
+/// Operators' file of a router with these parents.
 pub fn router(office: &Office, name: &str, lease: &str, parents: &[(&str, SocketAddr)]) -> Conf {
     let parents = parents.iter().map(|(name, at)| format!("relay-parent {name} {at}\n"));
     terms(office, name, lease, &format!("relay-role router\n{}", parents.collect::<String>()))
--- a/silverspindle/tests/common/sender.rs
+++ b/silverspindle/tests/common/sender.rs
@@ -1,4 +1,4 @@
-//! A client that sends on, whatever comes, and a cache that answers late or never.
+//! A client that keeps sending whatever it receives, and a cache that answers late or never.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,37 +12,37 @@
 
 use super::*;
 
-/// A request that crosses a close within this is sent again by its client.
+/// A request that was sent this shortly before the close crossed it; its client sends it again.
 pub const CROSSES: Duration = Duration::from_millis(50);
-/// Bytes of an answer without a body, at most; the caches here answer with more.
+/// Largest answer without a body, in bytes; the caches in these tests answer with more.
 const LARGEST_REFUSAL: usize = 200;
 pub const MS: Duration = Duration::from_millis(1);
 
-/// What a client does.
+/// Behaviour of a client.
 #[derive(Clone, Copy)]
 pub struct Habit {
-    /// It sends a request this often.
+    /// Time between two requests.
     pub every: Duration,
-    /// How long it waits for an answer, in milliseconds.
+    /// Time that the client waits for an answer, in milliseconds.
     pub budget: &'static str,
-    /// Bytes that it reads in a millisecond at most.
+    /// Largest number of bytes that the client reads per millisecond.
     pub reads: usize,
-    /// Of each request the first half goes out with the second half of the one before it.
+    /// Each write holds the second half of the previous request and the first half of the next.
     pub halves: bool,
 }
 
 pub const USUAL: Habit =
     Habit { every: Duration::from_millis(200), budget: "3000", reads: 1_000_000, halves: false };
 
-/// A client that sends on, whatever comes, until its connection ends.
+/// A client that keeps sending until its connection ends, and records what it sent and received.
 #[derive(Default)]
 pub struct Sender {
-    /// When each request was sent whole.
+    /// When each request was sent completely.
     pub sent: RefCell<BTreeMap<i32, Instant>>,
     pub answered: RefCell<BTreeMap<i32, u32>>,
-    /// Those that were served.
+    /// Requests that were served.
     pub served: RefCell<BTreeSet<i32>>,
-    /// When and how the connection ended, as the client saw it.
+    /// When and how the connection ended on the client's side.
     pub ended: RefCell<Option<(Instant, std::io::Result<()>)>>,
     pub last: Cell<i32>,
 }
@@ -66,7 +66,7 @@
             let request = serve(seq, &fields, b"");
             let half = if habit.halves { request.len() / 2 } else { request.len() };
             let mut bytes = std::mem::take(&mut owed);
-            // With halves, what completes the request before this one.
+            // With halves, this write completes the previous request.
             let whole = if habit.halves { seq - 1 } else { seq };
             bytes.extend(&request[..half]);
             owed.extend(&request[half..]);
@@ -94,10 +94,10 @@
                 Err(e) => break Err(e),
             }
             while let Some(answer) = split(&mut buffer, measure).unwrap() {
-                // Behind length, version, kind and the name `serve`.
+                // The sequence number follows the length, the version and type, and the name `serve`.
                 let seq = i32::from_be_bytes(answer[17..21].try_into().unwrap());
                 *self.answered.borrow_mut().entry(seq).or_insert(0) += 1;
-                // A refusal or a failure is a small frame of another shape.
+                // Refusals and failures are exceptions, in smaller frames.
                 if answer.len() > LARGEST_REFUSAL {
                     self.served.borrow_mut().insert(seq);
                 }
@@ -109,7 +109,8 @@
         *self.ended.borrow_mut() = Some((Instant::now(), end));
     }
 
-    /// Its connection ended cleanly within this time, and each request that did not cross its end has one answer.
+    /// Checks that the connection ended cleanly within `term`, and that each request that did not cross its end has
+    /// exactly one answer.
     pub fn check(&self, since: Instant, term: Duration) {
         let ended = self.ended.borrow();
         let Some((at, how)) = &*ended else { panic!("held after {term:?}") };
@@ -124,15 +125,16 @@
     }
 }
 
-/// How a cache answers.
+/// Behaviour of a cache.
 #[derive(Clone, Copy)]
 pub enum Cached {
-    /// With so many bytes after this time.
+    /// Answers with a body of this many bytes after this time.
     After(Duration, usize),
-    /// Never.
+    /// Never answers.
     Never,
 }
 
+/// Starts a cache with this behaviour; returns its address.
 pub fn serve_from(tasks: &Tasks, cached: Cached) -> std::net::SocketAddr {
     let cache = Cache::start(tasks);
     let address = cache.address;
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -1,4 +1,5 @@
-//! A single actor's surroundings: what peers share, the test as director, a scripted cache.
+//! Surroundings of a single actor under test: the state that actors share, the test in place of the director, and a
+//! scripted cache.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,7 +20,7 @@
 pub const PEER: MemberId = MemberId(1);
 pub const SOURCE: MemberId = MemberId(2);
 
-/// A client that waits, until it is gone.
+/// A client that waits for its answers until the test marks it as gone.
 #[derive(Debug, Default)]
 pub struct Waiting {
     pub gone: Cell<bool>,
@@ -36,11 +37,12 @@
     }
 }
 
+/// Surroundings of the actor under test.
 pub struct World {
     pub shared: Rc<Shared>,
     pub ends: async_channel::Receiver<Message>,
     pub cache: Cache,
-    /// Who waits for the attempts made here.
+    /// The client that waits for the attempts of this test.
     pub client: Rc<Waiting>,
 }
 
@@ -101,13 +103,13 @@
         })
     }
 
-    /// A front before the test as director, under this drain.
+    /// A front that hands its requests to the test, with this drain state and its address.
     pub async fn front(&self, tasks: &Tasks, drain: &Rc<RefCell<Drain>>) -> (Rc<Front>, SocketAddr) {
         let (listener, address) = listen();
         (self.front_at(tasks, drain, listener), address)
     }
 
-    /// The same, behind a listener of the test's own.
+    /// As [`Self::front`], with a listener of the test.
     pub fn front_at(
         &self,
         tasks: &Tasks,
@@ -120,7 +122,7 @@
         front
     }
 
-    /// The next request that the front hands on.
+    /// The next request that the front passes on.
     pub async fn request(&self) -> (Rc<dyn Port>, i32, Call) {
         loop {
             match self.ends.recv().await.unwrap() {
--- a/silverspindle/tests/drain_terms.rs
+++ b/silverspindle/tests/drain_terms.rs
@@ -1,5 +1,6 @@
-//! The terms of a drain, held against the program as a process: 4 s after the call no client's connection is held idle
-//! or with a request of the last 2 s, whatever clients and caches do; and each request has its one answer.
+//! Tests of the drain's deadline with the program as a process: 4 s after the drain is requested, no client's
+//! connection is held that is idle or had a request in the last 2 s, whatever clients and caches do, and each request
+//! has exactly one answer.
 
 mod common;
 
@@ -11,19 +12,19 @@
 use common::sender::{Cached, Habit, MS, Sender, USUAL, serve_from};
 use common::*;
 
-/// The terms look at connections so long after the call.
+/// Time after the request for a drain at which connections are checked.
 const TERM: Duration = Duration::from_secs(4);
-/// Requests that have come before the drain is asked for.
+/// Number of requests sent before the drain is requested.
 const WARM_UP: i32 = 4;
 
-/// Drains a router while a client of this habit sends through it, and holds the drain to its terms.
+/// Drains a router while a client sends through it, and checks that its connection is closed in time.
 fn drains_in_time(habit: Habit, cached: Cached) {
     run(async |tasks| {
         let (_coordinator, nowhere) = listen();
         let cache = serve_from(tasks, cached);
         let file = configuration(&[entry(1, "box", cache), entry(99, "origin", nowhere)], nowhere);
         let mut router: Router = start(&file, &format!("{}:0", ip()));
-        // Its log must not fill the pipe.
+        // Reads the log all the time, so that the pipe does not fill up and block the router.
         let lines = std::mem::replace(&mut router.lines, Box::new(std::iter::empty()));
         let log = std::thread::spawn(move || lines.collect::<Vec<String>>());
         let stream = Rc::new(Async::<std::net::TcpStream>::connect(router.clients).await.unwrap());
@@ -49,34 +50,38 @@
     });
 }
 
-/// A client always has a request open: there is no moment in which its connection owes nothing.
+/// Guards against a connection held for ever because the client's requests overlap: there is no moment in which no
+/// answer is owed on it.
 #[test]
-fn a_client_whose_requests_overlap_is_let_go_in_time() {
+fn a_connection_with_overlapping_requests_closes_in_time() {
     drains_in_time(USUAL, Cached::After(700 * MS, 1000));
 }
 
-/// Its requests wait for a cache that hangs, to their end, and it sends on behind them.
+/// Guards against a connection held because its requests wait for a cache that hangs, up to their deadlines, while the
+/// client sends further requests behind them.
 #[test]
-fn a_client_whose_requests_wait_for_a_hung_cache_is_let_go_in_time() {
+fn a_connection_whose_requests_wait_for_a_hung_cache_closes_in_time() {
     drains_in_time(USUAL, Cached::Never);
 }
 
-/// It reads 1 MB/s and asks for nearly as much: there are always answers that it has not taken.
+/// Guards against a connection held because its client reads 1 MB/s and requests nearly as much, so that unread answers
+/// are always waiting.
 #[test]
-fn a_client_that_reads_slowly_is_let_go_in_time_with_all_its_answers() {
+fn a_slow_readers_connection_closes_in_time_after_all_its_answers() {
     drains_in_time(Habit { reads: 1000, ..USUAL }, Cached::After(20 * MS, 200_000));
 }
 
-/// There is always half a message on its connection.
+/// Guards against a connection held because it always has a partially received message.
 #[test]
-fn a_client_that_sends_in_halves_is_let_go_in_time() {
+fn a_connection_with_partial_messages_closes_in_time() {
     let habit = Habit { every: 150 * MS, halves: true, ..USUAL };
     drains_in_time(habit, Cached::After(20 * MS, 1000));
 }
 
-/// It reads 1 MB/s and asks for more, in smaller answers: what it sends while it reads what came before is not lost.
+/// Guards against requests that are lost at the close because the client, which reads 1 MB/s and requests more in
+/// smaller answers, sent them while still reading earlier answers.
 #[test]
-fn a_client_that_asks_more_than_it_reads_is_let_go_with_all_its_answers() {
+fn a_connection_that_requests_more_than_it_reads_closes_after_all_its_answers() {
     let habit = Habit { every: 20 * MS, reads: 1000, ..USUAL };
     drains_in_time(habit, Cached::After(5 * MS, 60_000));
 }
