--- a/silverspindle/tests/common/relays.rs
+++ b/silverspindle/tests/common/relays.rs
@@ -28,7 +28,8 @@
 /// says that the follower is up to date.
 #[derive(Default)]
 pub struct Events {
-    told: RefCell<Vec<Vec<u8
+    told: RefCell<Vec<Vec<u8>>>,
+    /// If set, nothing is sent, not even the event that says that the follower is up to date.
     pub silent: Cell<bool>,
 }
 
