--- a/conf/src/keys.rs
+++ b/conf/src/keys.rs
@@ -59,15 +59,15 @@
     /// Example of a value.
     pub example: &'static str,
     /// Description in the shipped file.
-    pub about: &'static str,
+    pub description: &'static str,
 }
 
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3600 * SECOND;
 
 /// A directive that is given once at most, needs no restart and has no default.
-const fn key(name: &'static str, kind: Kind, about: &'static str) -> Key {
-    Key { name, kind, repeats: false, restart: false, default: None, example: "", about }
+const fn key(name: &'static str, kind: Kind, description: &'static str) -> Key {
+    Key { name, kind, repeats: false, restart: false, default: None, example: "", description }
 }
 
 impl Key {
@@ -83,7 +83,7 @@
 }
 
 /// Sections of the file: the heading and the directives of each.
-pub const PARTS: [(&str, &[Key]); 7] = [
+pub const SECTIONS: [(&str, &[Key]); 7] = [
     (
         "Exchange of knowledge between routers, over TCP with mutual TLS 1.3. A router gives if 'exchange-listen' is set\n\
          and asks if there are donors; both need the three files that 'silverspindle keys' creates.",
@@ -320,23 +320,23 @@
 
 /// All directives.
 pub fn all() -> impl Iterator<Item = &'static Key> {
-    PARTS.iter().flat_map(|(_, keys)| keys.iter())
+    SECTIONS.iter().flat_map(|(_, keys)| keys.iter())
 }
 
 /// The directive with this name.
-pub fn named(name: &str) -> Option<&'static Key> {
+pub fn by_name(name: &str) -> Option<&'static Key> {
     all().find(|key| key.name == name)
 }
 
 /// Values given in the file, by directive name, with their line numbers.
-pub type Given = BTreeMap<&'static str, Vec<(usize, Value)>>;
+pub type GivenDirectives = BTreeMap<&'static str, Vec<(usize, Value)>>;
 
 /// Checks each directive by itself: its name exists, its value is valid, and it is repeated only where that is allowed.
-pub fn check(directives: &[Directive], faults: &mut Vec<Fault>) -> Given {
-    let mut given = Given::new();
+pub fn check(directives: &[Directive], faults: &mut Vec<Fault>) -> GivenDirectives {
+    let mut given = GivenDirectives::new();
     for d in directives {
         let mut fault = |problem: String| faults.push(Fault { line: d.line, key: d.key.clone(), problem });
-        let Some(key) = named(&d.key) else {
+        let Some(key) = by_name(&d.key) else {
             fault(match nearest(&d.key) {
                 Some(name) => format!("is not a directive; did you mean {name}?"),
                 None => "is not a directive".to_owned(),
--- a/conf/src/settings.rs
+++ b/conf/src/settings.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use crate::keys::{self, Given, PARTS, Value};
+use crate::keys::{self, GivenDirectives, SECTIONS, Value};
 use crate::{Fault, Micros};
 
 /// The parsed operators' file.
@@ -24,13 +24,13 @@
     /// Half-lives of the knowledge from other routers.
     pub half_lives: HalfLives,
     /// Directives as given in the file.
-    given: Given,
+    given: GivenDirectives,
 }
 
 impl Default for Conf {
     /// The settings of an empty file: everything is off.
     fn default() -> Self {
-        resolve(&Given::new(), &mut Vec::new())
+        resolve(&GivenDirectives::new(), &mut Vec::new())
     }
 }
 
@@ -171,9 +171,9 @@
 
 /// Builds the settings from the given directives and their defaults, and adds the faults that show only across
 /// directives.
-pub(crate) fn resolve(given: &Given, faults: &mut Vec<Fault>) -> Conf {
+pub(crate) fn resolve(given: &GivenDirectives, faults: &mut Vec<Fault>) -> Conf {
     let first = |name: &str| given.get(name).and_then(|all| all.first());
-    let number = |name: &str| match (first(name), keys::named(name).and_then(keys::default)) {
+    let number = |name: &str| match (first(name), keys::by_name(name).and_then(keys::default)) {
         (Some((_, Value::Number(n))), _) => *n,
         (None, Some(Value::Number(n))) => n,
         _ => 0,
@@ -301,7 +301,7 @@
 
 /// Checks the directives of the relays against each other.
 fn check_relays(
-    given: &Given,
+    given: &GivenDirectives,
     role: Option<RelayRole>,
     number: &impl Fn(&str) -> u64,
     faults: &mut Vec<Fault>,
@@ -385,12 +385,13 @@
          # One directive per line; '#' begins a comment; quotes as in a shell; units as in 200ms, 5s, 64MB.\n\
          # Check a file: silverspindle check-conf FILE. Show the settings in effect: silverspindle show-conf FILE.\n"
             .to_owned();
-    for (about, keys) in PARTS {
-        let _ = write!(out, "\n# ---- {}\n", about.replace('\n', "\n#      "));
+    for (heading, keys) in SECTIONS {
+        let _ = write!(out, "\n# ---- {}\n", heading.replace('\n', "\n#      "));
         for key in keys {
             let default = key.default.map_or("Off if absent.".to_owned(), |d| format!("Default: {d}."));
             let restart = if key.restart { " A change needs a restart." } else { "" };
-            let _ = write!(out, "\n# {} {default}{restart}\n#{} {}\n", key.about, key.name, key.example);
+            let _ =
+                write!(out, "\n# {} {default}{restart}\n#{} {}\n", key.description, key.name, key.example);
         }
     }
     out
--- a/conf/tests/conf.rs
+++ b/conf/tests/conf.rs
@@ -193,7 +193,7 @@
     let on: String = shipped()
         .lines()
         .filter_map(|l| l.strip_prefix('#'))
-        .filter(|l| keys::named(l.split(' ').next().unwrap_or_default()).is_some())
+        .filter(|l| keys::by_name(l.split(' ').next().unwrap_or_default()).is_some())
         .map(|l| format!("{l}\n"))
         .collect();
     assert_eq!(on.lines().count(), keys::all().count());
--- a/silverspindle/src/drain.rs
+++ b/silverspindle/src/drain.rs
@@ -172,10 +172,10 @@
         if let Some((_, began)) = &mut self.ordered {
             *began = false;
         }
-        self.begin(now)
+        self.begin_drain(now)
     }
 
-    fn begin(&mut self, now: Micros) -> bool {
+    fn begin_drain(&mut self, now: Micros) -> bool {
         match self.phase {
             Phase::Starting | Phase::Serving => {
                 self.phase = Phase::Draining(now);
@@ -190,7 +190,7 @@
     pub fn order(&mut self, now: Micros, out: bool) {
         let (since, began) = self.ordered.unwrap_or((now, false));
         let since = if out { since.min(now.saturating_sub(ORDERED_TAKES)) } else { since };
-        self.ordered = Some((since, self.begin(now) || began));
+        self.ordered = Some((since, self.begin_drain(now) || began));
     }
 
     /// The router's turn for work is over: it serves again, unless staff have requested a drain as well.
@@ -277,7 +277,7 @@
         let must_refuse = backlog || busy || now >= since.saturating_add(TERM - RECENT);
         match self.phase {
             Phase::Ending(_) if now < self.signalled.saturating_add(LINGER) => None,
-            Phase::Ending(_) if must_refuse || deadline.saturating_add(BEFORE_KILL) > self.kill() => {
+            Phase::Ending(_) if must_refuse || deadline.saturating_add(BEFORE_KILL) > self.kill_time() => {
                 Some(RefusalReason::Ending)
             }
             Phase::Draining(_) if must_refuse => Some(RefusalReason::Draining),
@@ -289,13 +289,13 @@
     fn wait_for_reader_until(&self) -> Micros {
         let given_up_at = self.since().unwrap_or(0).saturating_add(GIVE_UP);
         match self.phase {
-            Phase::Ending(_) => given_up_at.min(self.kill().saturating_sub(BEFORE_KILL)),
+            Phase::Ending(_) => given_up_at.min(self.kill_time().saturating_sub(BEFORE_KILL)),
             _ => given_up_at,
         }
     }
 
     /// Earliest time at which SIGKILL may follow SIGTERM.
-    fn kill(&self) -> Micros {
+    fn kill_time(&self) -> Micros {
         self.signalled.saturating_add(self.kill_after)
     }
 
@@ -306,7 +306,7 @@
         let in_use =
             seen.last_request.is_some_and(|at| at.saturating_add(RECENT) >= since.saturating_add(TERM));
         let ending = matches!(self.phase, Phase::Ending(_));
-        let kill_is_near = ending && now.saturating_add(BEFORE_KILL) >= self.kill();
+        let kill_is_near = ending && now.saturating_add(BEFORE_KILL) >= self.kill_time();
         // Requests that a router accepts during shutdown after the check at TERM may be answered until SIGKILL.
         let check_ahead = !ending || now < since.saturating_add(TERM);
         kill_is_near || (in_use && check_ahead && now >= since.saturating_add(GIVE_UP))
@@ -329,7 +329,7 @@
     pub fn lingers(&self, now: Micros, usual: Micros) -> Micros {
         match self.phase {
             Phase::Ending(_) => {
-                let left = self.kill().saturating_sub(LAST_CLOSES).saturating_sub(now);
+                let left = self.kill_time().saturating_sub(LAST_CLOSES).saturating_sub(now);
                 if left > 0 { left.min(usual) } else { LAST_CLOSES }
             }
             _ => usual,
@@ -339,7 +339,7 @@
     /// Whether connections that wait for the client's own close must be dropped now, however recently they were closed,
     /// because SIGKILL is near.
     pub fn is_last_moment(&self, now: Micros) -> bool {
-        matches!(self.phase, Phase::Ending(_)) && now.saturating_add(LAST_CLOSES) >= self.kill()
+        matches!(self.phase, Phase::Ending(_)) && now.saturating_add(LAST_CLOSES) >= self.kill_time()
     }
 
     /// Whether the process may exit: a shutdown has begun, [`LINGER`] has passed since, no answer is owed and all
@@ -347,7 +347,7 @@
     /// time of SIGKILL on, the process no longer waits for clients that read their answers too slowly.
     pub fn may_exit(&self, now: Micros, owed: usize, flushed: bool) -> bool {
         match self.phase {
-            Phase::Ending(_) if now >= self.kill().saturating_add(LATEST_EXIT) => true,
+            Phase::Ending(_) if now >= self.kill_time().saturating_add(LATEST_EXIT) => true,
             Phase::Ending(since) => now >= since.saturating_add(LINGER) && owed == 0 && flushed,
             _ => false,
         }
@@ -404,7 +404,7 @@
     }
 
     #[test]
-    fn drained_before_start_stays_drained() {
+    fn a_drain_before_the_start_holds_after_it() {
         let mut d = Drain::new();
         d.drain(S);
         d.started();
@@ -412,7 +412,7 @@
     }
 
     #[test]
-    fn nothing_brings_an_ending_router_back() {
+    fn a_router_that_is_shutting_down_never_serves_again() {
         for first in [false, true] {
             let mut d = Drain::new();
             d.started();
@@ -425,17 +425,17 @@
             d.started();
             assert!(!d.ready());
             let since = if first { S } else { 2 * S };
-            assert_eq!(d.phase(), Phase::Ending(since), "a drain keeps its time into the end");
+            assert_eq!(d.phase(), Phase::Ending(since), "the shutdown keeps the time of the drain");
         }
     }
 
     #[test]
-    fn connections_close_after_the_grace_once_they_owe_nothing() {
+    fn connections_close_after_the_grace_period_once_all_is_answered() {
         let mut d = Drain::new();
         d.started();
-        assert!(!d.close(5 * S, idle(0)), "serving closes nothing");
+        assert!(!d.close(5 * S, idle(0)), "a serving router closes no connection");
         d.drain(10 * S);
-        assert!(!d.close(10 * S + GRACE - 1, idle(0)), "the front is still sending");
+        assert!(!d.close(10 * S + GRACE - 1, idle(0)), "new clients are still being sent");
         assert!(d.close(10 * S + GRACE, idle(0)));
         let busy = Seen { open: 1, ..idle(10 * S) };
         assert!(!d.close(12 * S, busy), "an open request is answered first");
@@ -445,14 +445,14 @@
         assert!(d.close(10 * S + GRACE + FIRST_WORD, late));
         assert!(d.close(10 * S + GRACE, Seen { asked: false, ..idle(9 * S) }));
         d.resume();
-        assert!(!d.close(20 * S, idle(0)), "resumed keeps its connections");
+        assert!(!d.close(20 * S, idle(0)), "a resumed router keeps its connections");
     }
 
     #[test]
-    fn exit_waits_for_the_linger_and_all_answers() {
+    fn exit_waits_for_late_arrivals_and_all_answers() {
         let mut d = Drain::new();
         d.started();
-        assert!(!d.may_exit(100 * S, 0, true), "only an ending router exits");
+        assert!(!d.may_exit(100 * S, 0, true), "only a shutdown lets the process exit");
         d.drain(S);
         assert!(!d.may_exit(100 * S, 0, true), "a drained router keeps running");
         let mut e = Drain::new();
@@ -465,26 +465,29 @@
     }
 
     #[test]
-    fn an_ending_router_takes_what_it_can_answer_before_the_kill() {
+    fn a_shutdown_accepts_requests_that_can_be_answered_before_sigkill() {
         let mut d = Drain::new().with_longest(2 * S);
         d.started();
-        let takes = |d: &Drain, now, deadline| d.refuses(now, deadline, idle(0)).is_none();
-        assert!(takes(&d, S, 1000 * S), "serving takes all");
+        let accepts = |d: &Drain, now, deadline| d.refuses(now, deadline, idle(0)).is_none();
+        assert!(accepts(&d, S, 1000 * S), "a serving router accepts all requests");
         d.drain(10 * S);
-        assert!(takes(&d, 10 * S, 1000 * S), "a drained router keeps running and takes all at first");
+        assert!(accepts(&d, 10 * S, 1000 * S), "a drained router accepts all requests at first");
         d.end(11 * S);
         // SIGKILL comes 2.7 s after SIGTERM at the soonest, whenever the drain came.
-        let kill = 11 * S + 2 * S + LINGER;
-        assert!(takes(&d, 11 * S + LINGER - 1, 1000 * S), "what comes within the linger is taken");
+        let kill_time = 11 * S + 2 * S + LINGER;
+        assert!(
+            accepts(&d, 11 * S + LINGER - 1, 1000 * S),
+            "requests within LINGER of the signal are accepted"
+        );
         let late = 11 * S + LINGER;
-        assert!(takes(&d, late, kill - BEFORE_KILL));
-        assert!(!takes(&d, late, kill - BEFORE_KILL + 1));
-        assert!(!takes(&d, 12 * S, kill - BEFORE_KILL), "the drain's own time holds as well");
+        assert!(accepts(&d, late, kill_time - BEFORE_KILL));
+        assert!(!accepts(&d, late, kill_time - BEFORE_KILL + 1));
+        assert!(!accepts(&d, 12 * S, kill_time - BEFORE_KILL), "the time of the drain applies too");
         let mut long = Drain::new().with_longest(30 * S);
         long.end(0);
         let counted = LONGEST_COUNTED + LINGER;
-        assert!(takes(&long, TAKES - 1, counted - BEFORE_KILL), "a longer deadline counts as 3 s");
-        assert!(!takes(&long, TAKES - 1, counted));
+        assert!(accepts(&long, TAKES - 1, counted - BEFORE_KILL), "a longer deadline counts as 3 s");
+        assert!(!accepts(&long, TAKES - 1, counted));
         let busy = Seen { open: 1, ..idle(0) };
         assert_eq!(long.refuses(TAKES, counted - BEFORE_KILL, busy), Some(RefusalReason::Ending));
     }
@@ -493,16 +496,16 @@
     /// behind open ones are refused after a while, those behind waiting answers from the end of the grace period, and
     /// open requests are given up before the operators' check, but no earlier.
     #[test]
-    fn a_drain_ends_on_every_connection() {
+    fn a_drain_closes_every_connection_in_time() {
         let mut d = Drain::new();
         d.started();
         let busy = |last_request| Seen { open: 2, last_request: Some(last_request), ..idle(0) };
-        assert!(!d.gives_up(9 * S, busy(9 * S)) && !d.cuts(9 * S, 0), "serving gives nothing up");
+        assert!(!d.gives_up(9 * S, busy(9 * S)) && !d.cuts(9 * S, 0), "a serving router gives up no request");
         d.drain(10 * S);
         let refused = |now, seen| d.refuses(now, 100 * S, seen);
         assert_eq!(refused(10 * S + TAKES - 1, busy(0)), None);
         assert_eq!(refused(10 * S + TAKES, busy(0)), Some(RefusalReason::Draining));
-        assert_eq!(refused(12 * S - 1, idle(0)), None, "a quiet one closes behind its answer");
+        assert_eq!(refused(12 * S - 1, idle(0)), None, "an idle connection closes after its answer");
         assert_eq!(refused(12 * S, idle(0)), Some(RefusalReason::Draining));
         let slow = Seen { unwritten: 1, ..busy(0) };
         assert_eq!(refused(10 * S + GRACE - 1, slow), None);
@@ -510,43 +513,49 @@
         let by = 10 * S + GIVE_UP;
         assert!(!d.gives_up(by - 1, busy(by - 1)));
         assert!(d.gives_up(by, busy(by - 1)));
-        assert!(d.gives_up(by, busy(12 * S)), "of the last 2 s at the term");
-        assert!(!d.gives_up(14 * S, busy(12 * S - 1)), "its request may wait on");
-        assert!(d.gives_up(14 * S, busy(14 * S - 1)), "until its client uses it again");
-        assert!(!d.cuts(by, by - NOT_READING + 1), "it reads");
+        assert!(d.gives_up(by, busy(12 * S)), "a request of the last 2 s before TERM");
+        assert!(!d.gives_up(14 * S, busy(12 * S - 1)), "an older request may keep waiting");
+        assert!(d.gives_up(14 * S, busy(14 * S - 1)), "until the client sends another one");
+        assert!(!d.cuts(by, by - NOT_READING + 1), "the client is still reading");
         assert!(d.cuts(by, by - NOT_READING));
         assert!(d.waits_for_halves(10 * S + TAKES - 1) && !d.waits_for_halves(10 * S + TAKES));
         let late = Seen { asked: false, ..idle(by - 1) };
-        assert!(d.close(by, late), "also one that came late and says nothing");
+        assert!(d.close(by, late), "also a connection that came late and has sent nothing");
         assert!(
             !d.close(15 * S, Seen { asked: false, ..idle(15 * S - 1) }),
-            "one that comes later has its time"
+            "a connection that comes after TERM has time for its first request"
         );
         d.end(15 * S);
-        assert!(!d.gives_up(15 * S + 1, busy(15 * S)), "what comes within the linger is owed until the kill");
+        assert!(
+            !d.gives_up(15 * S + 1, busy(15 * S)),
+            "a request within LINGER may be answered until SIGKILL"
+        );
     }
 
     /// Guards against a shutdown that is still waiting for clients or caches at SIGKILL, or for ever if none comes.
     #[test]
-    fn an_end_is_over_before_the_kill() {
+    fn a_shutdown_finishes_before_sigkill() {
         let mut d = Drain::new().with_longest(2 * S);
         d.started();
         d.end(10 * S);
-        let kill = 10 * S + 2 * S + LINGER;
+        let kill_time = 10 * S + 2 * S + LINGER;
         let hung = Seen { open: 1, last_request: Some(10 * S), ..idle(0) };
-        assert!(!d.gives_up(kill - BEFORE_KILL - 1, hung));
-        assert!(d.gives_up(kill - BEFORE_KILL, hung));
+        assert!(!d.gives_up(kill_time - BEFORE_KILL - 1, hung));
+        assert!(d.gives_up(kill_time - BEFORE_KILL, hung));
         assert_eq!(d.lingers(11 * S, S), S);
-        assert_eq!(d.lingers(kill - BEFORE_KILL, S), BEFORE_KILL - LAST_CLOSES);
-        assert_eq!(d.lingers(kill, S), LAST_CLOSES);
-        assert!(!d.is_last_moment(kill - LAST_CLOSES - 1) && d.is_last_moment(kill - LAST_CLOSES));
-        assert!(!d.may_exit(kill + LATEST_EXIT - 1, 0, false) && d.may_exit(kill + LATEST_EXIT, 1, false));
+        assert_eq!(d.lingers(kill_time - BEFORE_KILL, S), BEFORE_KILL - LAST_CLOSES);
+        assert_eq!(d.lingers(kill_time, S), LAST_CLOSES);
+        assert!(!d.is_last_moment(kill_time - LAST_CLOSES - 1) && d.is_last_moment(kill_time - LAST_CLOSES));
+        assert!(
+            !d.may_exit(kill_time + LATEST_EXIT - 1, 0, false)
+                && d.may_exit(kill_time + LATEST_EXIT, 1, false)
+        );
     }
 
     /// In every order of drain, resume, shutdown and reload, the router is ready exactly while it serves, never
     /// leaves the shutdown, and keeps the time at which that began.
     #[test]
-    fn every_order_of_calls() {
+    fn invariants_hold_in_every_order_of_calls() {
         fn walk(d: &Drain, depth: usize, now: Micros) {
             if depth == 0 {
                 return;
@@ -582,41 +591,41 @@
     /// A router whose turn for work has come drains, refuses requests after a while, and serves again after its turn; a
     /// drain by staff outlives the turn.
     #[test]
-    fn an_agreed_turn_drains_then_refuses_and_staffs_drain_outlives_it() {
+    fn an_agreed_turn_drains_then_refuses_and_a_drain_by_staff_outlives_it() {
         let mut d = Drain::new();
         d.started();
         d.order(10 * S, false);
         d.order(11 * S, false);
         let refused = |d: &Drain, now| d.refuses(now, 100 * S, idle(0));
-        let takes = |d: &Drain, now| refused(d, now).is_none();
-        assert!(!d.ready() && takes(&d, 12 * S - 1), "as under any drain");
+        let accepts = |d: &Drain, now| refused(d, now).is_none();
+        assert!(!d.ready() && accepts(&d, 12 * S - 1), "as in any drain");
         assert_eq!(refused(&d, 10 * S + ORDERED_TAKES - 1), Some(RefusalReason::Draining));
         assert_eq!(refused(&d, 10 * S + ORDERED_TAKES), Some(RefusalReason::Withdrawn));
         let mut again = Drain::new();
         again.started();
         again.order(10 * S, true);
-        assert!(!takes(&again, 10 * S), "started while it is out");
-        assert!(!takes(&d, 10 * S + ORDERED_TAKES) && d.is_out(10 * S + ORDERED_TAKES));
+        assert!(!accepts(&again, 10 * S), "a router that starts while it is out refuses at once");
+        assert!(!accepts(&d, 10 * S + ORDERED_TAKES) && d.is_out(10 * S + ORDERED_TAKES));
         d.release();
-        assert!(d.ready() && takes(&d, 20 * S));
+        assert!(d.ready() && accepts(&d, 20 * S));
         d.drain(21 * S);
         d.order(22 * S, false);
         d.release();
         assert!(!d.ready(), "staff drained it");
         d.resume();
         d.order(23 * S, false);
-        assert!(!d.drain(24 * S), "it drains already");
+        assert!(!d.drain(24 * S), "it is draining already");
         d.order(25 * S, false);
         d.release();
         assert!(!d.ready(), "staff drained it during its turn");
         d.resume();
         d.order(30 * S, false);
-        assert!(d.resume(), "by hand, against the order");
+        assert!(d.resume(), "staff may resume against the order");
         d.order(31 * S, false);
-        assert!(!d.ready(), "its turn goes on");
+        assert!(!d.ready(), "its turn continues");
         d.release();
         d.alone(true);
-        assert!(!d.ready() && !takes(&d, 40 * S), "nothing could be sent on");
+        assert!(!d.ready() && !accepts(&d, 40 * S), "no request may be passed on");
         d.alone(false);
         assert!(d.ready());
     }
--- a/wire/src/feed.rs
+++ b/wire/src/feed.rs
@@ -116,24 +116,24 @@
     let index = value["index"].as_u64().ok_or("known.index: must be a whole number")?;
     let updates = value["updates"].as_array().ok_or("known.updates: must be a list")?;
     let events = updates.iter().enumerate().map(|(i, v)| {
-        let bad = |what: &str| format!("known.updates[{i}].{what}: missing or malformed");
+        let malformed = |what: &str| format!("known.updates[{i}].{what}: missing or malformed");
         let news = if let Some(list) = v.get("endpoints") {
-            let entries = list["members"].as_array().ok_or_else(|| bad("endpoints.members"))?;
+            let entries = list["members"].as_array().ok_or_else(|| malformed("endpoints.members"))?;
             let members = entries
                 .iter()
-                .map(|m| parse_entry(m, names).map_err(|key| bad(&format!("endpoints.members.{key}"))))
+                .map(|m| parse_entry(m, names).map_err(|key| malformed(&format!("endpoints.members.{key}"))))
                 .collect::<Result<_, _>>()?;
             News::Members { complete: list["complete"].as_bool().unwrap_or(false), members }
         } else {
-            let purge = v.get("evict").ok_or_else(|| bad("endpoints"))?;
+            let purge = v.get("evict").ok_or_else(|| malformed("endpoints"))?;
             let what = match (purge.get("ref"), purge.get("shard")) {
                 (Some(object), _) => object.as_str().and_then(hex).map(Purged::Object),
                 (None, group) => group.and_then(Value::as_u64).map(Purged::Group),
             };
-            let at = purge["unix_ms"].as_u64().ok_or_else(|| bad("evict.unix_ms"))?;
-            News::Purged { what: what.ok_or_else(|| bad("evict.ref"))?, at: Stamp::from_millis(at) }
+            let at = purge["unix_ms"].as_u64().ok_or_else(|| malformed("evict.unix_ms"))?;
+            News::Purged { what: what.ok_or_else(|| malformed("evict.ref"))?, at: Stamp::from_millis(at) }
         };
-        Ok(Event { index: v["index"].as_u64().ok_or_else(|| bad("index"))?, news })
+        Ok(Event { index: v["index"].as_u64().ok_or_else(|| malformed("index"))?, news })
     });
     Ok((index, events.collect::<Result<_, String>>()?))
 }
--- a/wire/src/framing.rs
+++ b/wire/src/framing.rs
@@ -47,18 +47,18 @@
     /// Number of received bytes in the buffer. The bytes behind them are spare room, left by a read that was cancelled.
     filled: usize,
     /// When the first bytes of an incomplete message were read.
-    begun: Option<Micros>,
+    partial_since: Option<Micros>,
     /// Lower bound of the arrival time of every byte not read yet: the last time the stream was known to be empty.
-    dry: Micros,
+    empty_at: Micros,
     /// Lower bound of the arrival time of the bytes of the last read.
-    came: Micros,
+    received_at: Micros,
     measure: Measure,
     /// Largest read, in bytes.
     chunk: usize,
     /// Timeout for the next bytes of an incomplete message.
-    stall: Option<Duration>,
+    stall_timeout: Option<Duration>,
     /// Timeout for a whole message, from its first byte.
-    whole: Option<Duration>,
+    message_timeout: Option<Duration>,
 }
 
 impl<R: AsyncRead + Unpin> Messages<R> {
@@ -68,40 +68,40 @@
             stream,
             buffer: BytesMut::new(),
             filled: 0,
-            begun: None,
-            dry: clock::now(),
-            came: 0,
+            partial_since: None,
+            empty_at: clock::now(),
+            received_at: 0,
             measure,
             chunk,
-            stall: None,
-            whole: None,
+            stall_timeout: None,
+            message_timeout: None,
         }
     }
 
     /// Sets the time since when unread bytes may lie on the stream; without it, the time of [`Self::new`].
     pub fn opened(self, at: Micros) -> Self {
-        Self { dry: at, ..self }
+        Self { empty_at: at, ..self }
     }
 
     /// Makes reading fail if an incomplete message receives no byte for this long.
     pub fn or_stall(self, stall: Duration) -> Self {
-        Self { stall: Some(stall), ..self }
+        Self { stall_timeout: Some(stall), ..self }
     }
 
     /// Makes reading fail if a message is not complete this long after its first byte, even if bytes keep trickling in.
     pub fn within(self, whole: Duration) -> Self {
-        Self { whole: Some(whole), ..self }
+        Self { message_timeout: Some(whole), ..self }
     }
 
     /// When the first bytes of an incomplete message were read; none if the buffer holds no such bytes.
     pub fn begun(&self) -> Option<Micros> {
-        self.begun
+        self.partial_since
     }
 
     /// The earliest time at which the last byte of the last message can have arrived. It may be well before the read:
     /// bytes lie unread while the reading task is busy elsewhere.
     pub fn came(&self) -> Micros {
-        self.came
+        self.received_at
     }
 
     /// The next message; none at the end of the stream. Cancel-safe: the future may be dropped and `next` called again.
@@ -110,42 +110,43 @@
             self.buffer.truncate(self.filled);
             if let Some(message) = split(&mut self.buffer, self.measure)? {
                 self.filled = self.buffer.len();
-                self.begun = (self.filled > 0).then(clock::now);
+                self.partial_since = (self.filled > 0).then(clock::now);
                 return Ok(Some(message));
             }
             self.buffer.resize(self.filled + self.chunk, 0);
-            let left = self.begun.zip(self.whole).map(|(begun, whole)| {
+            let remaining = self.partial_since.zip(self.message_timeout).map(|(begun, whole)| {
                 whole.saturating_sub(Duration::from_micros(clock::now().saturating_sub(begun)))
             });
-            let stall = self.stall.filter(|_| self.filled > 0).into_iter().chain(left).min();
-            let late = async {
-                match stall {
-                    Some(stall) => Timer::after(stall).await,
+            let read_timeout =
+                self.stall_timeout.filter(|_| self.filled > 0).into_iter().chain(remaining).min();
+            let timeout = async {
+                match read_timeout {
+                    Some(time) => Timer::after(time).await,
                     None => Timer::never().await,
                 };
                 Err(io::Error::new(io::ErrorKind::TimedOut, "timed out in the middle of a message"))
             };
             let (stream, room) = (&mut self.stream, &mut self.buffer[self.filled..]);
-            let (dry, mut waited) = (&mut self.dry, false);
+            let (empty_at, mut waited) = (&mut self.empty_at, false);
             let read = poll_fn(|context| {
                 let read = Pin::new(&mut *stream).poll_read(context, room);
                 if read.is_pending() {
-                    (*dry, waited) = (clock::now(), true);
+                    (*empty_at, waited) = (clock::now(), true);
                 }
                 read
             });
-            let read = future::or(read, late).await?;
+            let read = future::or(read, timeout).await?;
             let now = clock::now();
             // After a wait the task was woken by the bytes, so they were read as they arrived.
-            self.came = if waited { now } else { self.dry };
+            self.received_at = if waited { now } else { self.empty_at };
             if read < self.chunk {
-                self.dry = now;
+                self.empty_at = now;
             }
             match read {
                 0 => return Ok(None),
                 read => {
                     self.filled += read;
-                    self.begun = self.begun.or_else(|| Some(clock::now()));
+                    self.partial_since = self.partial_since.or_else(|| Some(clock::now()));
                 }
             }
         }
--- a/wire/src/thrift.rs
+++ b/wire/src/thrift.rs
@@ -114,6 +114,7 @@
         return Err(Malformed("nested too deeply"));
     }
     let width = |field_type| match field_type {
+        // 3 is a byte, 6 an i16, 4 a double and 10 an i64.
         BOOL | 3 => Some(1),
         6 => Some(2),
         I32 => Some(4),
@@ -137,6 +138,7 @@
                 skip(c, value, depth + 1)?;
             }
         }
+        // A set or a list.
         14 | 15 => {
             let (field_type, count) = (c.number(1)? as u8, c.number(4)? as usize);
             for _ in 0..count {
