--- a/conf/src/keys.rs
+++ b/conf/src/keys.rs
@@ -343,13 +343,13 @@
             });
             continue;
         };
-        let values = given.entry(key.name).or_default();
+        let given_values = given.entry(key.name).or_default();
         match parse_value(key.kind, &d.words) {
             Err(problem) => fault(problem),
-            Ok(_) if !key.repeats && !values.is_empty() => {
-                fault(format!("is set on line {} already", values[0].0));
+            Ok(_) if !key.repeats && !given_values.is_empty() => {
+                fault(format!("is set on line {} already", given_values[0].0));
             }
-            Ok(value) => values.push((d.line, value)),
+            Ok(value) => given_values.push((d.line, value)),
         }
     }
     given
--- a/conf/src/settings.rs
+++ b/conf/src/settings.rs
@@ -172,17 +172,17 @@
 /// Builds the settings from the given directives and their defaults, and adds the faults that show only across
 /// directives.
 pub(crate) fn resolve(given: &GivenDirectives, faults: &mut Vec<Fault>) -> Conf {
-    let first = |name: &str| given.get(name).and_then(|all| all.first());
-    let number = |name: &str| match (first(name), keys::by_name(name).and_then(keys::default)) {
+    let first_value = |name: &str| given.get(name).and_then(|all| all.first());
+    let number = |name: &str| match (first_value(name), keys::by_name(name).and_then(keys::default)) {
         (Some((_, Value::Number(n))), _) => *n,
         (None, Some(Value::Number(n))) => n,
         _ => 0,
     };
-    let address = |name: &str| match first(name) {
+    let address = |name: &str| match first_value(name) {
         Some((_, Value::Address(a))) => Some(*a),
         _ => None,
     };
-    let path = |name: &str| match first(name) {
+    let path = |name: &str| match first_value(name) {
         Some((_, Value::Path(p))) => Some(p.clone()),
         _ => None,
     };
@@ -200,13 +200,13 @@
     };
     let (donors, electors) = (peers("donor"), peers("agree-elector"));
     let (parents, sources) = (peers("relay-parent"), peers("relay-source"));
-    let exchange = first("exchange-listen").or(first("donor"));
-    let agreement = first("agree-elector");
+    let exchange = first_value("exchange-listen").or(first_value("donor"));
+    let agreement = first_value("agree-elector");
     if let Some((line, _)) = agreement.filter(|_| ![1, 3, 5].contains(&electors.len())) {
         let problem = format!("{} are given; there must be 1, 3 or 5", electors.len());
         faults.push(Fault { line: *line, key: "agree-elector".to_owned(), problem });
     }
-    let rules = first("agree-rules").filter(|(_, value)| *value == Value::Name("on".to_owned()));
+    let rules = first_value("agree-rules").filter(|(_, value)| *value == Value::Name("on".to_owned()));
     if let Some((line, _)) = rules.filter(|_| agreement.is_none()) {
         let problem = "needs agree-elector lines: the routers agree on versions".to_owned();
         faults.push(Fault { line: *line, key: "agree-rules".to_owned(), problem });
@@ -221,12 +221,12 @@
         .iter()
         .filter(|(key, _)| key.starts_with("half-life-"))
         .filter_map(|(key, all)| Some((*key, all.first()?.0)));
-    if let Some((line, _)) = first("work-out").filter(|_| agreement.is_none()) {
+    if let Some((line, _)) = first_value("work-out").filter(|_| agreement.is_none()) {
         let problem = "needs agree-elector lines: the routers agree on the order of work".to_owned();
         faults.push(Fault { line: *line, key: "work-out".to_owned(), problem });
     }
     let files = ["exchange-authority", "exchange-certificate", "exchange-key"];
-    let relay_role = first("relay-role");
+    let relay_role = first_value("relay-role");
     let role = relay_role.and_then(|(_, value)| match value {
         Value::Name(name) if name == "source" => Some(RelayRole::Source),
         Value::Name(name) if name == "relay" => Some(RelayRole::Relay),
@@ -234,7 +234,7 @@
         _ => None,
     });
     check_relays(given, role, &number, faults);
-    if let Some((line, _)) = exchange.or(agreement).or(relay_role).or(first("relay-source")) {
+    if let Some((line, _)) = exchange.or(agreement).or(relay_role).or(first_value("relay-source")) {
         for missing in files.iter().filter(|name| path(name).is_none()) {
             let problem = format!("is missing: the exchange on line {line} needs it");
             faults.push(Fault { line: *line, key: (*missing).to_owned(), problem });
@@ -256,10 +256,10 @@
             operators: operators.iter().filter_map(name).collect(),
             callers: number("agree-callers") as usize,
             records: path("agree-records"),
-            work: first("work-out").map(|_| Work {
+            work: first_value("work-out").map(|_| Work {
                 most_out: number("work-out") as usize,
                 headroom: 10 * number("work-headroom"),
-                hold: matches!(first("work-alone"), Some((_, Value::Name(word))) if word == "hold"),
+                hold: matches!(first_value("work-alone"), Some((_, Value::Name(word))) if word == "hold"),
             }),
             rules: rules.map(|_| Rules {
                 least_fills: number("rules-least-fills"),
