--- a/conf/src/keys.rs
+++ b/conf/src/keys.rs
@@ -382,30 +382,29 @@
     let address = |text: &str| {
         text.parse().map_err(|_| format!("{text:?} is not an address and port, as in 127.0.0.1:7465"))
     };
-    let in_range =
-        |n: u64, min: u64, max: u64, format_bound: fn(u64) -> String| match (min..=max).contains(&n) {
-            true => Ok(Value::Number(n)),
-            false => Err(format!("must be between {} and {}", format_bound(min), format_bound(max))),
-        };
+    let in_range = |n: u64, low: u64, high: u64, show: fn(u64) -> String| match (low..=high).contains(&n) {
+        true => Ok(Value::Number(n)),
+        false => Err(format!("must be between {} and {}", show(low), show(high))),
+    };
     match kind {
         Kind::Address => address(one("an address and a port")?).map(Value::Address),
         Kind::Path => one("a path").map(|p| Value::Path(p.into())),
-        Kind::Duration(min, max) => {
+        Kind::Duration(low, high) => {
             let text = one("a duration")?;
             let time = humantime::parse_duration(text)
                 .map_err(|_| format!("{text:?} is not a duration, as in 200ms or 5s"))?;
-            in_range(u64::try_from(time.as_micros()).unwrap_or(u64::MAX), min, max, duration)
+            in_range(u64::try_from(time.as_micros()).unwrap_or(u64::MAX), low, high, duration)
         }
-        Kind::Size(min, max) => {
+        Kind::Size(low, high) => {
             let text = one("a size")?;
             let size: bytesize::ByteSize =
                 text.parse().map_err(|_| format!("{text:?} is not a size, as in 64MB or 512KiB"))?;
-            in_range(size.as_u64(), min, max, size_text)
+            in_range(size.as_u64(), low, high, size_text)
         }
-        Kind::Count(min, max) => {
+        Kind::Count(low, high) => {
             let text = one("a whole number")?;
             let n = text.parse().map_err(|_| format!("{text:?} is not a whole number"))?;
-            in_range(n, min, max, |n| n.to_string())
+            in_range(n, low, high, |n| n.to_string())
         }
         Kind::Choice(words) => {
             let word = one("a word")?;
