--- a/conf/src/keys.rs
+++ b/conf/src/keys.rs
@@ -366,9 +366,7 @@
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     match !name.is_empty() && name.len() <= 63 && name.chars().all(allowed) {
         true => Ok(()),
-        false => {
-            Err(format!("{name:?} is not a name: letters, digits, '-', '_', '.', at most 63 characters"))
-        }
+        false => Err(format!("{name:?} is not a name: letters, digits, '-', '_', '.', at most 63")),
     }
 }
 
