--- a/conf/src/keys.rs
+++ b/conf/src/keys.rs
@@ -391,13 +391,13 @@
             let text = one("a duration")?;
             let time = humantime::parse_duration(text)
                 .map_err(|_| format!("{text:?} is not a duration, as in 200ms or 5s"))?;
-            in_range(u64::try_from(time.as_micros()).unwrap_or(u64::MAX), low, high, duration)
+            in_range(u64::try_from(time.as_micros()).unwrap_or(u64::MAX), low, high, format_duration)
         }
         Kind::Size(low, high) => {
             let text = one("a size")?;
             let size: bytesize::ByteSize =
                 text.parse().map_err(|_| format!("{text:?} is not a size, as in 64MB or 512KiB"))?;
-            in_range(size.as_u64(), low, high, size_text)
+            in_range(size.as_u64(), low, high, format_size)
         }
         Kind::Count(low, high) => {
             let text = one("a whole number")?;
@@ -426,12 +426,12 @@
 }
 
 /// Formats a duration as the file writes it. Parsing it again yields the same number of microseconds.
-pub fn duration(time: Micros) -> String {
+pub fn format_duration(time: Micros) -> String {
     humantime::format_duration(std::time::Duration::from_micros(time)).to_string().replace(' ', "")
 }
 
 /// Formats a size as the file writes it. Parsing it again yields the same number of bytes.
-pub fn size_text(size: u64) -> String {
+pub fn format_size(size: u64) -> String {
     [(1_000_000_000, "GB"), (1_000_000, "MB"), (1000, "kB")]
         .iter()
         .find(|(unit, _)| size >= *unit && size.is_multiple_of(*unit))
@@ -439,14 +439,14 @@
 }
 
 /// Formats a value as the file writes it.
-pub fn words(kind: Kind, value: &Value) -> String {
+pub fn format_value(kind: Kind, value: &Value) -> String {
     match (value, kind) {
         (Value::Address(a), _) => a.to_string(),
         (Value::Path(p), _) => shell_words::quote(&p.to_string_lossy()).into_owned(),
         (Value::Peer(name, a), _) => format!("{name} {a}"),
         (Value::Name(name), _) => name.clone(),
-        (Value::Number(n), Kind::Duration(..)) => duration(*n),
-        (Value::Number(n), Kind::Size(..)) => size_text(*n),
+        (Value::Number(n), Kind::Duration(..)) => format_duration(*n),
+        (Value::Number(n), Kind::Size(..)) => format_size(*n),
         (Value::Number(n), _) => n.to_string(),
     }
 }
--- a/conf/src/lib.rs
+++ b/conf/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! ```
 //! let conf = silverspindle_conf::read("snapshot-directory /var/lib/silverspindle # lasting disk\n").unwrap();
-//! assert_eq!(conf.snapshot.unwrap().every, 5_000_000);
+//! assert_eq!(conf.snapshot.unwrap().interval, 5_000_000);
 //! let faults = silverspindle_conf::read("snapshot-evry 5s\nsnapshot-every 5 parsecs").unwrap_err();
 //! assert_eq!(faults.len(), 2);
 //! assert_eq!(faults[0].to_string(), "1: snapshot-evry: is not a directive; did you mean snapshot-every?");
--- a/conf/src/settings.rs
+++ b/conf/src/settings.rs
@@ -44,13 +44,13 @@
     /// Donors to ask, with the names in their certificates; none if this router only gives.
     pub donors: Vec<(String, SocketAddr)>,
     /// Largest number of donors to ask at a time.
-    pub at_once: usize,
+    pub max_donors_at_once: usize,
     /// Time after its start during which this router asks donors, in microseconds.
-    pub ask_for: Micros,
+    pub ask_period: Micros,
     /// Bytes per second that this router gives to all newcomers together.
     pub give_rate: u64,
     /// Largest number of newcomers that this router serves at a time.
-    pub newcomers: usize,
+    pub max_newcomers: usize,
 }
 
 /// Paths of a router's PEM files.
@@ -70,9 +70,9 @@
     /// Directory of the snapshots.
     pub directory: PathBuf,
     /// Time between two snapshots, in microseconds.
-    pub every: Micros,
+    pub interval: Micros,
     /// Largest snapshot, in bytes.
-    pub most: u64,
+    pub max_size: u64,
 }
 
 /// Agreement between routers.
@@ -85,13 +85,13 @@
     /// Directory in which an elector keeps its log.
     pub directory: Option<PathBuf>,
     /// Longest time for which a router acts on a decision that has been replaced, in microseconds.
-    pub within: Micros,
+    pub lease: Micros,
     /// Names of certificates that may make any proposal.
     pub operators: Vec<String>,
     /// Largest number of connections of followers and operators at an elector.
-    pub callers: usize,
+    pub max_callers: usize,
     /// File in which this router records what it acted on.
-    pub records: Option<PathBuf>,
+    pub records_file: Option<PathBuf>,
     /// Taking machines out for work; none if it is off.
     pub work: Option<Work>,
     /// Versioned settings and lists; none if they are off.
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rules {
     /// Smallest limit of fills at the head office that this router can work with.
-    pub least_fills: u64,
+    pub min_fills: u64,
     /// Half-lives in this file, which an agreed version may override.
     pub half_lives: HalfLives,
     /// Line numbers of the half-life directives in this file, by name.
@@ -130,17 +130,17 @@
     /// Parents with the names in their certificates, in order of preference.
     pub parents: Vec<(String, SocketAddr)>,
     /// Lease of a router that has a parent, in microseconds.
-    pub within: Micros,
+    pub lease: Micros,
     /// Lease of a router that reaches no parent and follows the coordinator itself, in microseconds.
-    pub direct: Micros,
+    pub direct_lease: Micros,
     /// Shortest time between two batches of records passed on, in microseconds.
-    pub batch: Micros,
+    pub batch_interval: Micros,
     /// Time between two reports to a parent, in microseconds.
-    pub report: Micros,
+    pub report_interval: Micros,
     /// Largest number of children; 0 for a router.
-    pub children: usize,
+    pub max_children: usize,
     /// Largest number of records kept.
-    pub records: usize,
+    pub max_records: usize,
     /// File in which this router records what it applied and acted on.
     pub records_file: Option<PathBuf>,
 }
@@ -158,9 +158,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Work {
     /// Largest number of machines of a place that may be out at a time.
-    pub most_out: usize,
+    pub max_out: usize,
     /// Capacity that a place keeps beyond its load, in thousandths of the load.
-    pub headroom: u64,
+    pub headroom_permille: u64,
     /// A router whose confirmation has expired keeps serving and holds up all work, instead of accepting no new
     /// requests.
     pub hold: bool,
@@ -252,17 +252,17 @@
             electors,
             files: files.clone(),
             directory: path("agree-directory"),
-            within: number("agree-within"),
+            lease: number("agree-within"),
             operators: operators.iter().filter_map(name).collect(),
-            callers: number("agree-callers") as usize,
-            records: path("agree-records"),
+            max_callers: number("agree-callers") as usize,
+            records_file: path("agree-records"),
             work: first_value("work-out").map(|_| Work {
-                most_out: number("work-out") as usize,
-                headroom: 10 * number("work-headroom"),
+                max_out: number("work-out") as usize,
+                headroom_permille: 10 * number("work-headroom"),
                 hold: matches!(first_value("work-alone"), Some((_, Value::Name(word))) if word == "hold"),
             }),
             rules: rules.map(|_| Rules {
-                least_fills: number("rules-least-fills"),
+                min_fills: number("rules-least-fills"),
                 half_lives,
                 lines: lines.collect(),
             }),
@@ -271,28 +271,28 @@
             listen: address("exchange-listen"),
             files: files.clone(),
             donors,
-            at_once: number("donors-at-once") as usize,
-            ask_for: number("ask-for"),
+            max_donors_at_once: number("donors-at-once") as usize,
+            ask_period: number("ask-for"),
             give_rate: number("give-rate"),
-            newcomers: number("give-newcomers") as usize,
+            max_newcomers: number("give-newcomers") as usize,
         }),
         relay: role.map(|role| Relay {
             role,
             files: files.clone(),
             parents,
-            within: number("relay-within"),
-            direct: number("relay-direct"),
-            batch: number("relay-batch"),
-            report: number("relay-report"),
-            children: if role == RelayRole::Router { 0 } else { number("relay-children") as usize },
-            records: number("relay-records") as usize,
+            lease: number("relay-within"),
+            direct_lease: number("relay-direct"),
+            batch_interval: number("relay-batch"),
+            report_interval: number("relay-report"),
+            max_children: if role == RelayRole::Router { 0 } else { number("relay-children") as usize },
+            max_records: number("relay-records") as usize,
             records_file: path("relay-records-file"),
         }),
         sources: (!sources.is_empty()).then(|| Sources { sources, files: files.clone() }),
         snapshot: path("snapshot-directory").map(|directory| Snapshot {
             directory,
-            every: number("snapshot-every"),
-            most: number("snapshot-size"),
+            interval: number("snapshot-every"),
+            max_size: number("snapshot-size"),
         }),
         half_lives,
         given: given.iter().filter(|(_, v)| !v.is_empty()).map(|(k, v)| (*k, v.clone())).collect(),
@@ -361,7 +361,7 @@
                 let _ = writeln!(out, "# {}: not set", key.name);
             }
             for (_, value) in values {
-                let _ = writeln!(out, "{} {}", key.name, keys::words(key.kind, &value));
+                let _ = writeln!(out, "{} {}", key.name, keys::format_value(key.kind, &value));
             }
         }
         out
--- a/conf/tests/conf.rs
+++ b/conf/tests/conf.rs
@@ -30,10 +30,10 @@
         read(&format!("{files}agree-elector n1 127.0.0.1:1\nagree-operator staff\nwork-out 2\n")).unwrap();
     let agreement = conf.agreement.unwrap();
     assert_eq!(
-        (agreement.within, agreement.callers, agreement.operators),
+        (agreement.lease, agreement.max_callers, agreement.operators),
         (2_000_000, 128, vec!["staff".to_owned()])
     );
-    assert_eq!(agreement.work, Some(Work { most_out: 2, headroom: 250, hold: false }));
+    assert_eq!(agreement.work, Some(Work { max_out: 2, headroom_permille: 250, hold: false }));
     assert_eq!(conf.exchange, None);
     let two = format!("{files}agree-elector n1 127.0.0.1:1\nagree-elector n2 127.0.0.1:2\n");
     assert_eq!(faults(&two), ["4: agree-elector: 2 are given; there must be 1, 3 or 5"]);
@@ -59,13 +59,13 @@
         read_with("relay-role router\nrelay-parent r1 127.0.0.1:1\nrelay-parent r2 127.0.0.1:2\n").unwrap();
     assert_eq!((router.exchange, router.sources), (None, None));
     let relay = router.relay.unwrap();
-    assert_eq!((relay.role, relay.children, relay.records), (RelayRole::Router, 0, 65_536));
-    assert_eq!((relay.within, relay.direct), (5_000_000, 3_000_000));
-    assert_eq!((relay.batch, relay.report), (500_000, 1_000_000));
+    assert_eq!((relay.role, relay.max_children, relay.max_records), (RelayRole::Router, 0, 65_536));
+    assert_eq!((relay.lease, relay.direct_lease), (5_000_000, 3_000_000));
+    assert_eq!((relay.batch_interval, relay.report_interval), (500_000, 1_000_000));
     let names: Vec<&str> = relay.parents.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(names, ["r1", "r2"], "in the order of preference");
     let source = read_with("exchange-listen 127.0.0.1:7\nrelay-role source\nrelay-children 8192\n").unwrap();
-    assert_eq!(source.relay.unwrap().children, 8192);
+    assert_eq!(source.relay.unwrap().max_children, 8192);
 
     assert_eq!(found("relay-role router\n"), ["4 relay-role"], "without a parent");
     assert_eq!(
@@ -105,7 +105,7 @@
     let files =
         "exchange-authority a\nexchange-certificate c\nexchange-key k\nagree-elector n1 127.0.0.1:1\n";
     let conf = read(&format!("{files}agree-callers 8192\n")).unwrap();
-    assert_eq!(conf.agreement.unwrap().callers, 8192);
+    assert_eq!(conf.agreement.unwrap().max_callers, 8192);
     assert_eq!(faults("agree-callers 8193\n"), ["1: agree-callers: must be between 1 and 8192"]);
 }
 
@@ -125,8 +125,11 @@
     let exchange = conf.exchange.unwrap();
     assert_eq!(exchange.files.certificate.to_str(), Some("/etc/with space.pem"));
     assert_eq!(exchange.donors.len(), 2);
-    assert_eq!((exchange.at_once, exchange.ask_for, exchange.give_rate), (3, 60_000_000, 1_500_000));
-    assert_eq!(conf.snapshot.unwrap().every, 250_000);
+    assert_eq!(
+        (exchange.max_donors_at_once, exchange.ask_period, exchange.give_rate),
+        (3, 60_000_000, 1_500_000)
+    );
+    assert_eq!(conf.snapshot.unwrap().interval, 250_000);
     assert_eq!((conf.half_lives.health, conf.half_lives.pace), (1_500_000, 10_000_000));
 }
 
@@ -217,7 +220,7 @@
     fn shown_durations_and_sizes_are_exact(every in 100_000u64..3_600_000_000, most in 10_000u64..1 << 30) {
         let text = format!("snapshot-directory /d\nsnapshot-every {every}us\nsnapshot-size {most}");
         let conf = read(&text).unwrap();
-        prop_assert_eq!(conf.snapshot.clone().unwrap().every, every);
+        prop_assert_eq!(conf.snapshot.clone().unwrap().interval, every);
         prop_assert_eq!(read(&conf.show()).unwrap().snapshot, conf.snapshot);
     }
 }
--- a/lab/src/scale/relay_model.rs
+++ b/lab/src/scale/relay_model.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use silverspindle_relay::{
-    Action, Entry, Event, Guards, Micros, Node, NodeId, Purged, Record, Role, Settings,
+    Action, Entry, Event, Guards, Micros, Node, NodeId, PurgeTarget, Record, Role, Settings,
 };
 
 use self::faults::CutRegion;
@@ -406,7 +406,7 @@
 
     fn purge(&mut self) {
         let number = BEGIN + 1 + self.records.len() as u64;
-        let what = Purged::Object(self.rng.random());
+        let what = PurgeTarget::Object(self.rng.random());
         let entry = Entry::Purge { what, at_ms: 1_700_000_000_000 + self.now / MS };
         self.records.push((self.now, Record { number, entry }));
         let next = self.now + SECOND / PURGES_A_SECOND;
--- a/lab/src/swarm/purges/coordinator.rs
+++ b/lab/src/swarm/purges/coordinator.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use silverspindle_relay::{Entry, Micros, Purged, Record, Reset};
+use silverspindle_relay::{Entry, Micros, PurgeTarget, Record, Reset};
 
 use super::MS;
 use super::network::ConnectionId;
@@ -66,18 +66,18 @@
         let entry = match rng.random_range(0..12) {
             _ if self.log.is_empty() => Entry::List(self.list_event(COMPLETE, rng)),
             0 => Entry::List(self.list_event(if rng.random() { COMPLETE } else { DELTA }, rng)),
-            1 => self.purge(Purged::Group(rng.random_range(0..GROUPS)), number, now),
-            _ => self.purge(Purged::Object(rng.random_range(0..OBJECTS)), number, now),
+            1 => self.purge(PurgeTarget::Group(rng.random_range(0..GROUPS)), number, now),
+            _ => self.purge(PurgeTarget::Object(rng.random_range(0..OBJECTS)), number, now),
         };
         self.log.push(Record { number, entry });
         number
     }
 
-    fn purge(&mut self, what: Purged, number: u64, known: Micros) -> Entry {
+    fn purge(&mut self, what: PurgeTarget, number: u64, known: Micros) -> Entry {
         let at_ms = known / MS;
         let binds = |object: &u64| match what {
-            Purged::Object(purged) => purged == *object,
-            Purged::Group(purged) => purged == group(*object),
+            PurgeTarget::Object(purged) => purged == *object,
+            PurgeTarget::Group(purged) => purged == group(*object),
         };
         for object in (0..OBJECTS).filter(binds) {
             self.purges.entry(object).or_default().push(Numbered { number, at_ms, known });
--- a/lab/src/swarm/purges/host.rs
+++ b/lab/src/swarm/purges/host.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use silverspindle_relay::{ANY_COPY, Entry, Feed, Micros, Mode, Purged, Record, Reset};
+use silverspindle_relay::{ANY_COPY, Entry, Feed, Micros, Mode, PurgeTarget, Record, Reset};
 
 use super::MS;
 use super::coordinator::{Coordinator, OBJECTS, group};
@@ -30,8 +30,8 @@
     fn take(&mut self, record: &Record) {
         if let Entry::Purge { what, at_ms } = &record.entry {
             let latest = match what {
-                Purged::Object(object) => self.objects.entry(*object).or_default(),
-                Purged::Group(group) => self.groups.entry(*group).or_default(),
+                PurgeTarget::Object(object) => self.objects.entry(*object).or_default(),
+                PurgeTarget::Group(group) => self.groups.entry(*group).or_default(),
             };
             *latest = (*latest).max(*at_ms);
         }
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -9,7 +9,7 @@
 use silverspindle_lab::capacity::data::{Data, Fault, How, Unit};
 use silverspindle_lab::capacity::quantity::{Book, Inputs, Quantity, Role, Way, at_size};
 use silverspindle_lab::capacity::{DATA, page, quantities, render, rendered, work_out};
-use silverspindle_relay::{Batch, Confirm, Entry, Frame, Purged, Record, Report, Summary, Update};
+use silverspindle_relay::{Batch, Confirm, Entry, Frame, PurgeTarget, Record, Report, Summary, Update};
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
@@ -261,7 +261,7 @@
 /// Half a second of purges at the target's rate, some milliseconds apart.
 fn half_a_second_of_purges() -> Vec<Record> {
     let purge = |n: u64| {
-        let what = Purged::Object(u64::MAX - n);
+        let what = PurgeTarget::Object(u64::MAX - n);
         Record { number: NUMBER + n, entry: Entry::Purge { what, at_ms: 1_796_000_000_000 + 9 * n } }
     };
     (1..=55).map(purge).collect()
--- a/relay/src/batch.rs
+++ b/relay/src/batch.rs
@@ -7,7 +7,7 @@
 //! - the others: a zero byte, a kind ([`OBJECT`], [`GROUP`], [`LIST`]), varint of the numbers left out, then the
 //!   difference and object or group, or length and bytes of a list event.
 
-use silverspindle_wire::feed::Purged;
+use silverspindle_wire::feed::PurgeTarget;
 
 use crate::bounds;
 use crate::frame::Fault;
@@ -102,7 +102,7 @@
         };
         self.number = record.number;
         match &record.entry {
-            Entry::Purge { what: Purged::Object(object), at_ms } => {
+            Entry::Purge { what: PurgeTarget::Object(object), at_ms } => {
                 let difference = self.difference(*at_ms);
                 match difference.checked_add(1).filter(|_| skipped == 0) {
                     Some(header) => self.varint(header),
@@ -113,7 +113,7 @@
                 }
                 self.bytes.extend_from_slice(&object.to_be_bytes());
             }
-            Entry::Purge { what: Purged::Group(group), at_ms } => {
+            Entry::Purge { what: PurgeTarget::Group(group), at_ms } => {
                 let difference = self.difference(*at_ms);
                 self.escape(GROUP, skipped);
                 self.varint(difference);
@@ -174,7 +174,7 @@
             GROUP => {
                 let difference = self.varint()?;
                 let at_ms = self.time(difference);
-                let what = Purged::Group(self.varint()?);
+                let what = PurgeTarget::Group(self.varint()?);
                 Ok(Record { number: self.number, entry: Entry::Purge { what, at_ms } })
             }
             LIST => {
@@ -191,7 +191,7 @@
 
     fn object(&mut self, at_ms: u64) -> Result<Record, Fault> {
         let id: [u8; 8] = self.bytes(8)?.try_into().map_err(|_| Fault::Unreadable)?;
-        let what = Purged::Object(u64::from_be_bytes(id));
+        let what = PurgeTarget::Object(u64::from_be_bytes(id));
         Ok(Record { number: self.number, entry: Entry::Purge { what, at_ms } })
     }
 
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -32,7 +32,7 @@
 pub use log::{ANY_COPY, Entry, Log, Record, Reset};
 pub use node::{Action, ChildId, Event, Guards, Node, ParentId, Role, Settings};
 pub use silverspindle_agreement::Fence;
-pub use silverspindle_wire::feed::Purged;
+pub use silverspindle_wire::feed::PurgeTarget;
 pub use watermark::{Lagging, Status, Summary};
 
 /// Microseconds.
--- a/relay/src/log.rs
+++ b/relay/src/log.rs
@@ -4,7 +4,7 @@
 use std::collections::{VecDeque, vec_deque};
 
 use serde::{Deserialize, Serialize};
-use silverspindle_wire::feed::Purged;
+use silverspindle_wire::feed::PurgeTarget;
 
 use crate::bounds;
 use crate::list::List;
@@ -24,7 +24,7 @@
     /// Copies from before then are not to be served.
     Purge {
         /// What was purged.
-        what: Purged,
+        what: PurgeTarget,
         /// When, in Unix milliseconds.
         at_ms: u64,
     },
--- a/relay/tests/batch.rs
+++ b/relay/tests/batch.rs
@@ -5,10 +5,11 @@
 use common::{list, purge, purges};
 use proptest::prelude::*;
 use silverspindle_relay::batch::Batch;
-use silverspindle_relay::{Entry, Fault, Frame, Purged, Record, bounds};
+use silverspindle_relay::{Entry, Fault, Frame, PurgeTarget, Record, bounds};
 
 fn entry() -> impl Strategy<Value = Entry> {
-    let what = prop_oneof![any::<u64>().prop_map(Purged::Object), any::<u64>().prop_map(Purged::Group)];
+    let what =
+        prop_oneof![any::<u64>().prop_map(PurgeTarget::Object), any::<u64>().prop_map(PurgeTarget::Group)];
     let at_ms = prop_oneof![any::<u64>(), 1_700_000_000_000..1_700_000_100_000u64];
     let members = prop::collection::vec((any::<u32>(), 0..3u8), 0..5);
     prop_oneof![
--- a/relay/tests/common/mod.rs
+++ b/relay/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use silverspindle_relay::{
-    Action, ChildId, Entry, Event, Fault, Frame, Guards, Micros, Node, NodeId, ParentId, Purged, Record,
+    Action, ChildId, Entry, Event, Fault, Frame, Guards, Micros, Node, NodeId, ParentId, PurgeTarget, Record,
     Reset, Role, Settings,
 };
 
@@ -33,7 +33,7 @@
 }
 
 pub fn purge(number: u64, object: u64, at_ms: u64) -> Record {
-    Record { number, entry: Entry::Purge { what: Purged::Object(object), at_ms } }
+    Record { number, entry: Entry::Purge { what: PurgeTarget::Object(object), at_ms } }
 }
 
 /// Purges with these numbers, each of its own object.
--- a/silverspindle/benches/donor.rs
+++ b/silverspindle/benches/donor.rs
@@ -4,14 +4,14 @@
 
 use bitternhold::{Lifecycle, Member, MemberId, MemberReport, Report, Settings};
 use criterion::{Criterion, criterion_group, criterion_main};
-use silverspindle::feed::Listed;
+use silverspindle::feed::ListEntry;
 use silverspindle::knowledge::Knowledge;
 use silverspindle_conf::Conf;
 use silverspindle_knowledge::protocol;
 
 fn donor(members: u64) -> (Knowledge, Report) {
     let mut knowledge = Knowledge::new("n0", Conf::default().half_lives, &Settings::default());
-    let listed = |id| Listed {
+    let listed = |id| ListEntry {
         member: Member { id: MemberId(id), lifecycle: Lifecycle::Ready, ..Member::default() },
         address: ([127, 0, 0, 1], 1).into(),
     };
--- a/silverspindle/src/agreement/mod.rs
+++ b/silverspindle/src/agreement/mod.rs
@@ -79,7 +79,7 @@
 
 /// Descriptors that it may take: callers, links to electors, the disk.
 pub fn descriptors(conf: &Conf) -> usize {
-    conf.callers + conf.electors.len() + crate::knowledge::exchange::AT_THE_DOOR_AGREED + 2
+    conf.max_callers + conf.electors.len() + crate::knowledge::exchange::AT_THE_DOOR_AGREED + 2
 }
 
 enum Input {
@@ -394,25 +394,25 @@
             life: me.incarnation,
             electors: conf.electors.iter().map(|(name, _)| name.clone()).collect(),
             operators: conf.operators.clone(),
-            lease: conf.within,
+            lease: conf.lease,
             drift_ppm: DRIFT_PPM,
-            patience: PATIENCE * conf.within,
+            patience: PATIENCE * conf.lease,
             seed: draw().map_err(Fault::Disk)?,
             guards: guards(),
         };
         let node = Node::new(terms, disk, steady());
         let (send, inbox) = async_channel::bounded(INBOX);
-        let records = conf.records.as_ref().map(|path| Records::open(path, name, me.incarnation));
+        let records = conf.records_file.as_ref().map(|path| Records::open(path, name, me.incarnation));
         let records = records.transpose().map_err(Fault::Disk)?;
         let life = Rc::new(Cell::new(None));
         let withholds = Withholds::new(yard.director.clone());
-        let clock = (conf.within, DRIFT_PPM);
+        let clock = (conf.lease, DRIFT_PPM);
         let (acting, rules) = match &conf.rules {
             Some(terms) => {
                 let (settings, classes) = (yard.settings.clone(), yard.classes.clone());
                 let acting = Acting::new(node.fence().clone(), settings, classes, terms.half_lives);
                 let acting = Rc::new(acting);
-                let (least, lines) = (terms.least_fills, terms.lines.clone());
+                let (least, lines) = (terms.min_fills, terms.lines.clone());
                 let who = (me, name);
                 let (own, all) = (life.clone(), withholds.clone());
                 let lead = rules::Lead::new(clock, who, own, acting.clone(), all, least, lines);
@@ -436,7 +436,7 @@
             inbox: send,
             callers: Rc::default(),
             calls: Rc::default(),
-            most: conf.callers,
+            most: conf.max_callers,
             electors: Rc::new(conf.electors.iter().map(|(name, _)| name.clone()).collect()),
             life,
             fence: node.fence().clone(),
@@ -455,7 +455,7 @@
             tokens: 0,
             out: Vec::new(),
             said: None,
-            lease: conf.within,
+            lease: conf.lease,
             lead,
             rules,
             yard: yard.clone(),
@@ -557,7 +557,7 @@
         }
         let alone = self.lead.as_ref().is_some_and(|lead| lead.alone)
             || self.rules.as_ref().is_some_and(rules::Lead::is_alone);
-        self.yard.drain.borrow_mut().alone(alone);
+        self.yard.drain.borrow_mut().set_alone(alone);
         let [orders, rules] = reports(&self.node);
         let step = self.lead.as_mut().filter(|_| steps);
         let step = step.and_then(|lead| lead.step(now, &mut self.node, &orders));
--- a/silverspindle/src/agreement/orders.rs
+++ b/silverspindle/src/agreement/orders.rs
@@ -142,7 +142,7 @@
         life: Rc<Cell<Option<u64>>>,
         withholds: Withholds,
     ) -> Self {
-        let rules = Rules::new(terms.headroom, terms.most_out, lease, yard.longest(), drift_ppm);
+        let rules = Rules::new(terms.headroom_permille, terms.max_out, lease, yard.longest(), drift_ppm);
         let guards = Guards { clear: !super::without("clear"), ..Guards::default() };
         let alone = if terms.hold { Alone::Hold } else { Alone::Stop };
         Self {
@@ -257,8 +257,8 @@
         let mut drain = self.yard.drain.borrow_mut();
         let before = drain.phase();
         match work.stages.get(&Machine::Router(self.name.clone())) {
-            Some((_, stage @ (Stage::Asked | Stage::Out))) => drain.order(now, *stage == Stage::Out),
-            _ => drain.release(),
+            Some((_, stage @ (Stage::Asked | Stage::Out))) => drain.order_out(now, *stage == Stage::Out),
+            _ => drain.end_order(),
         }
         if drain.phase() != before {
             tracing::info!("work: this router {}", if drain.ready() { "serves again" } else { "goes out" });
--- a/silverspindle/src/agreement/rules.rs
+++ b/silverspindle/src/agreement/rules.rs
@@ -363,7 +363,7 @@
         };
         for (what, time) in &rules.half_life {
             if let Some(line) = self.lines.get(local(what)) {
-                let time = silverspindle_conf::keys::duration(*time);
+                let time = silverspindle_conf::keys::format_duration(*time);
                 tracing::warn!(
                     "operators' file:{line}: {}: version {} says {time}, which holds",
                     local(what),
--- a/silverspindle/src/agreement/staff.rs
+++ b/silverspindle/src/agreement/staff.rs
@@ -118,7 +118,7 @@
 
     async fn offer(&self, proposal: Proposal) -> Reply {
         let id = proposal.id;
-        let patience = Duration::from_micros(self.agreement.within) * super::PATIENCE as u32 + WAY;
+        let patience = Duration::from_micros(self.agreement.lease) * super::PATIENCE as u32 + WAY;
         for elector in &self.agreement.electors {
             let settled = |frame| match frame {
                 Frame::Settled { id: which, verdict } if which == id => Some(verdict),
--- a/silverspindle/src/config.rs
+++ b/silverspindle/src/config.rs
@@ -167,7 +167,7 @@
         let (catalogue, notes) = site(settings, all);
         let known = match &file["known"] {
             Value::Null => Ok((0, Vec::new())),
-            value => feed::known(value, &catalogue).or_else(|e| {
+            value => feed::parse_known(value, &catalogue).or_else(|e| {
                 let (key, problem) = e.split_once(": ").unwrap_or((&e, "malformed"));
                 fault(key, problem)
             }),
--- a/silverspindle/src/coordinator.rs
+++ b/silverspindle/src/coordinator.rs
@@ -13,8 +13,8 @@
 use std::net::TcpStream;
 use std::pin::pin;
 
-use crate::feed::{self, Event, News};
-use crate::framing::Messages;
+use crate::feed::{self, Event, Update};
+use crate::framing::MessageReader;
 use crate::steady::steady;
 
 /// An empty frame comes each second: without any for so long the coordinator has stopped. All counts as told 7 s after,
@@ -54,13 +54,13 @@
     fn tell(&self, told: Told) -> impl Future<Output = bool>;
 }
 
-impl<N: From<News>> Sink for Sender<N> {
+impl<N: From<Update>> Sink for Sender<N> {
     fn is_closed(&self) -> bool {
         Sender::is_closed(self)
     }
 
     async fn tell(&self, told: Told) -> bool {
-        self.send(told.event.news.into()).await.is_ok()
+        self.send(told.event.update.into()).await.is_ok()
     }
 }
 
@@ -131,7 +131,7 @@
         let stream = within(CONNECT, Async::<TcpStream>::connect(self.address)).await?;
         within(CONNECT, (&stream).write_all(&self.last.to_be_bytes())).await?;
         tracing::info!(event = self.last, "coordinator {}: following", self.address);
-        let mut frames = Messages::new(&stream, feed::measure, CHUNK).or_stall(STALL);
+        let mut frames = MessageReader::new(&stream, feed::measure, CHUNK).with_stall_timeout(STALL);
         // The time since when nothing is left unread: what comes then was not there yet, however late it is read.
         let mut empty = steady();
         loop {
@@ -141,7 +141,7 @@
             let event = feed::decode(&frame)?;
             let index = event.index;
             // Nothing more to tell: what was told is current.
-            let current = event.news == News::Nothing;
+            let current = event.update == Update::UpToDate;
             // What came already, before a break, is not told twice: an old list would undo newer changes.
             if index <= self.last && !current {
                 continue;
--- a/silverspindle/src/copies.rs
+++ b/silverspindle/src/copies.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 
 use crate::clock::Stamp;
-use crate::feed::Purged;
+use crate::feed::PurgeTarget;
 
 /// A purge is held against answers that were under way for so long after it was told.
 const PURGE_KEPT: Micros = 30_000_000;
@@ -60,10 +60,10 @@
     }
 
     /// Whether this purge is of it.
-    pub fn falls_to(&self, object: u64, what: Purged, at: Stamp) -> bool {
+    pub fn falls_to(&self, object: u64, what: PurgeTarget, at: Stamp) -> bool {
         let named = match what {
-            Purged::Object(key) => key == object,
-            Purged::Group(group) => group == self.group || group == EVERY_GROUP,
+            PurgeTarget::Object(key) => key == object,
+            PurgeTarget::Group(group) => group == self.group || group == EVERY_GROUP,
         };
         named && self.stamp <= at
     }
@@ -83,7 +83,7 @@
     /// By last use, the oldest first.
     order: BTreeMap<u64, Key>,
     uses: u64,
-    purges: BTreeMap<Purged, (Stamp, Micros)>,
+    purges: BTreeMap<PurgeTarget, (Stamp, Micros)>,
     /// Bytes a second of one transfer and of all together; when the link has sent what it has.
     flow: f64,
     link: f64,
@@ -138,7 +138,7 @@
 
     /// Whether a copy of this part that the origin gave out then is held to be purged.
     pub fn is_purged(&self, key: &Key, group: u64, stamp: Stamp) -> bool {
-        let purged = [Purged::Object(key.0), Purged::Group(group), Purged::Group(EVERY_GROUP)];
+        let purged = [PurgeTarget::Object(key.0), PurgeTarget::Group(group), PurgeTarget::Group(EVERY_GROUP)];
         purged.iter().filter_map(|what| self.purges.get(what)).any(|(at, _)| stamp <= *at)
     }
 
@@ -164,12 +164,12 @@
     }
 
     /// Drops what is older than a purge, now and when it comes in late.
-    pub fn purge(&mut self, now: Micros, what: Purged, at: Stamp) {
+    pub fn purge(&mut self, now: Micros, what: PurgeTarget, at: Stamp) {
         self.purges.retain(|_, (_, told)| now.saturating_sub(*told) < PURGE_KEPT);
         let slot = self.purges.entry(what).or_insert((at, now));
         *slot = (at.max(slot.0), now);
         let gone: Vec<Key> = match what {
-            Purged::Object(object) => {
+            PurgeTarget::Object(object) => {
                 let parts = (object, 0, 0)..=(object, u64::MAX, usize::MAX);
                 self.copies
                     .range(parts)
@@ -177,7 +177,7 @@
                     .map(|(key, _)| *key)
                     .collect()
             }
-            Purged::Group(_) => self
+            PurgeTarget::Group(_) => self
                 .copies
                 .iter()
                 .filter(|(key, c)| c.falls_to(key.0, what, at))
--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -24,7 +24,7 @@
 use crate::clock::{self, Stamp};
 use crate::copies::{Copies, Copy};
 use crate::counters::{Counters, RefusalReason};
-use crate::feed::{Listed, News, Purged};
+use crate::feed::{ListEntry, PurgeTarget, Update};
 use crate::knowledge::Knowledge;
 use crate::skew::Skew;
 use crate::traffic::{
@@ -176,7 +176,7 @@
         self.act_by(changed);
     }
 
-    fn act_by(&mut self, changed: Vec<Listed>) {
+    fn act_by(&mut self, changed: Vec<ListEntry>) {
         if changed.is_empty() {
             return;
         }
@@ -196,7 +196,7 @@
             let due = self.next_timer();
             let wake = async {
                 match due {
-                    Some(at) => clock::at(at).await,
+                    Some(at) => clock::timer_at(at).await,
                     None => Timer::never().await,
                 };
                 Some(Next::Due)
@@ -225,13 +225,13 @@
     }
 
     /// Takes news in. A whole list is of this kind: read back at the start, or told.
-    pub fn news(&mut self, news: News, whole: ListKind) {
+    pub fn news(&mut self, news: Update, whole: ListKind) {
         match news {
-            News::Nothing => {
+            Update::UpToDate => {
                 self.knowledge.iter_mut().for_each(Knowledge::heard);
                 self.review();
             }
-            News::Members { complete, mut members } => {
+            Update::Members { complete, mut members } => {
                 let told: Vec<Member> = members.iter().map(|m| m.member.clone()).collect();
                 self.shared.board.note_members(complete, &told);
                 self.knowledge.iter_mut().for_each(|k| k.listed(complete, &members));
@@ -248,22 +248,22 @@
                 self.event(Event::Members { kind: if complete { whole } else { ListKind::Delta }, members });
                 self.review();
             }
-            News::Purged { what, at } => {
+            Update::Purged { what, at } => {
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
                 self.purged(what, at);
             }
         }
     }
 
-    fn purged(&mut self, what: Purged, at: Stamp) {
+    fn purged(&mut self, what: PurgeTarget, at: Stamp) {
         let now = self.now();
         let keep = self.settings.purge_done + self.settings.purge_grace;
         self.shared.board.purged(now, what, keep);
         self.copies.purge(now, what, at);
         self.drop_offered(what, at);
         let (object, group) = match what {
-            Purged::Object(key) => (Some(format!("{key:016x}")), 0),
-            Purged::Group(group) => (None, group),
+            PurgeTarget::Object(key) => (Some(format!("{key:016x}")), 0),
+            PurgeTarget::Group(group) => (None, group),
         };
         self.event(Event::Purged { object, group, age: self.skew.purge_age(now, at) });
     }
@@ -275,7 +275,7 @@
         }
     }
 
-    fn listed(&mut self, m: &Listed) {
+    fn listed(&mut self, m: &ListEntry) {
         let id = m.member.id;
         if m.member.lifecycle == Lifecycle::Gone {
             return self.gone(id);
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -5,7 +5,7 @@
 
 use super::Director;
 use crate::clock::Stamp;
-use crate::feed::Purged;
+use crate::feed::PurgeTarget;
 use crate::steady::steady;
 use crate::traffic::Notice;
 
@@ -18,7 +18,7 @@
         match notice {
             Notice::News(news) => self.news(news, ListKind::Full),
             Notice::PurgedBefore(at) => {
-                let what = Purged::Group(EVERY_GROUP);
+                let what = PurgeTarget::Group(EVERY_GROUP);
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
                 self.purged(what, at);
             }
--- a/silverspindle/src/director/own_copies.rs
+++ b/silverspindle/src/director/own_copies.rs
@@ -9,7 +9,7 @@
 use crate::clock::Stamp;
 use crate::copies::Copy;
 use crate::counters::CopyLoss;
-use crate::feed::Purged;
+use crate::feed::PurgeTarget;
 use crate::guards::OWN_COPY_LOSS;
 use crate::traffic::{Call, End, Refusal, SafeToRetry, Verdict};
 
@@ -64,7 +64,7 @@
     }
 
     /// Requests let go of the own copies that a purge is of.
-    pub(super) fn drop_offered(&mut self, what: Purged, at: Stamp) {
+    pub(super) fn drop_offered(&mut self, what: PurgeTarget, at: Stamp) {
         for open in self.requests.values_mut() {
             let (call, own) = (&open.call, &mut open.own);
             *own = own.take().filter(|copy| !call.key().is_some_and(|key| copy.falls_to(key, what, at)));
--- a/silverspindle/src/distribution/actor.rs
+++ b/silverspindle/src/distribution/actor.rs
@@ -19,7 +19,7 @@
 use super::parents::{Heard, Parent};
 use super::translate;
 use crate::coordinator::{Coordinator, Sink, Told};
-use crate::feed::News;
+use crate::feed::Update;
 use crate::links::Connector;
 use crate::steady::steady;
 use crate::traffic::Notice;
@@ -209,7 +209,7 @@
         let (mut next, mut records) = (Some(told), Vec::new());
         let mut current = None;
         while let Some(Told { event, frame, after }) = next.take() {
-            if event.news == News::Nothing {
+            if event.update == Update::UpToDate {
                 current = Some(after);
                 break;
             }
--- a/silverspindle/src/distribution/mod.rs
+++ b/silverspindle/src/distribution/mod.rs
@@ -43,7 +43,7 @@
 pub fn descriptors(conf: &Conf) -> usize {
     let callers = match conf.role {
         RelayRole::Router => 0,
-        _ => conf.children + ASKERS + crate::knowledge::exchange::AT_THE_DOOR_AGREED,
+        _ => conf.max_children + ASKERS + crate::knowledge::exchange::AT_THE_DOOR_AGREED,
     };
     callers + PARENTS + usize::from(conf.records_file.is_some())
 }
@@ -94,13 +94,13 @@
             RelayRole::Router => Role::Router,
         },
         parents: conf.parents.len(),
-        lease: conf.within,
-        direct_lease: conf.direct,
+        lease: conf.lease,
+        direct_lease: conf.direct_lease,
         drift_ppm: DRIFT_PPM,
-        batch_every: conf.batch,
-        report_every: conf.report,
-        children: conf.children,
-        records: conf.records,
+        batch_every: conf.batch_interval,
+        report_every: conf.report_interval,
+        children: conf.max_children,
+        records: conf.max_records,
         seed: draw()?,
         guards: guards(),
     })
@@ -126,7 +126,7 @@
     let (ping, pinged) = async_channel::bounded(1);
     let feed = Rc::new(Feed::new(node.feed_guard(), around.applied, ping, records));
     around.board.lease(feed.clone(), around.cleared);
-    let (children, heard) = Children::new(conf.children + ASKERS, conf.within);
+    let (children, heard) = Children::new(conf.max_children + ASKERS, conf.lease);
     let service: Option<Rc<dyn Service>> = match conf.role {
         RelayRole::Router => None,
         _ => Some(Rc::new(children.clone())),
--- a/silverspindle/src/distribution/translate.rs
+++ b/silverspindle/src/distribution/translate.rs
@@ -6,7 +6,7 @@
 use silverspindle_relay::{ANY_COPY, Entry, Log, Record, Reset};
 
 use crate::clock::{self, Stamp};
-use crate::feed::{self, Event, Listed, News};
+use crate::feed::{self, Event, ListEntry, Update};
 use crate::framing::Malformed;
 use crate::traffic::Notice;
 
@@ -18,16 +18,16 @@
 
 /// The record of a coordinator's event; none: it tells nothing new.
 pub fn record(event: &Event, frame: &[u8]) -> Option<Record> {
-    let entry = match &event.news {
-        News::Nothing => return None,
-        News::Purged { what, at } => Entry::Purge { what: *what, at_ms: at.as_micros() / 1000 },
-        News::Members { .. } => Entry::List(frame.get(HEAD..)?.to_vec()),
+    let entry = match &event.update {
+        Update::UpToDate => return None,
+        Update::Purged { what, at } => Entry::Purge { what: *what, at_ms: at.as_micros() / 1000 },
+        Update::Members { .. } => Entry::List(frame.get(HEAD..)?.to_vec()),
     };
     Some(Record { number: event.index, entry })
 }
 
 /// What a list event says, as the coordinator spells it.
-pub fn list(bytes: &[u8]) -> Result<News, Malformed> {
+pub fn list(bytes: &[u8]) -> Result<Update, Malformed> {
     if !matches!(bytes.first(), Some(&(WHOLE | SOME))) {
         return Err(Malformed("no list event"));
     }
@@ -36,13 +36,13 @@
     if feed::measure(&frame)? != frame.len() {
         return Err(Malformed("a list event longer than any may be"));
     }
-    Ok(feed::decode(&frame)?.news)
+    Ok(feed::decode(&frame)?.update)
 }
 
 /// What the director is told of a record.
-pub fn news(entry: &Entry) -> Result<News, Malformed> {
+pub fn news(entry: &Entry) -> Result<Update, Malformed> {
     match entry {
-        Entry::Purge { what, at_ms } => Ok(News::Purged { what: *what, at: Stamp::from_millis(*at_ms) }),
+        Entry::Purge { what, at_ms } => Ok(Update::Purged { what: *what, at: Stamp::from_millis(*at_ms) }),
         Entry::List(bytes) => list(bytes),
     }
 }
@@ -65,8 +65,8 @@
 
 /// Records of events that were known at the start. A list that the coordinator's frames can't spell is left out.
 pub fn known(events: &[Event]) -> Vec<Record> {
-    let record = |event: &Event| match &event.news {
-        News::Members { complete, members } => {
+    let record = |event: &Event| match &event.update {
+        Update::Members { complete, members } => {
             let bytes = spell(*complete, members);
             if bytes.is_none() {
                 tracing::warn!(event = event.index, "relay: a list in 'known' can't be passed on");
@@ -89,9 +89,9 @@
 }
 
 /// A list as the coordinator spells it.
-fn spell(complete: bool, members: &[Listed]) -> Option<Vec<u8>> {
+fn spell(complete: bool, members: &[ListEntry]) -> Option<Vec<u8>> {
     let mut out = vec![if complete { WHOLE } else { SOME }];
-    for Listed { member, address } in members {
+    for ListEntry { member, address } in members {
         let IpAddr::V4(ip) = address.ip() else { return None };
         out.extend(u32::try_from(member.id.0).ok()?.to_be_bytes());
         out.extend(ip.octets());
--- a/silverspindle/src/drain.rs
+++ b/silverspindle/src/drain.rs
@@ -9,10 +9,10 @@
 //! closed as soon as no answer is owed on it.
 //!
 //! On some connections an answer is always owed: requests overlap, wait for a cache that hangs, or are answered
-//! faster than the client reads. Such connections are forced to a close. From [`TAKES`] on, further requests behind
-//! open ones are refused as never run (from [`GRACE`] on where answers wait for the client to read them). At
-//! [`GIVE_UP`], what is still open on a connection in use is given up. Every wait in this module is bounded in real
-//! time, whatever clients and caches do. SIGHUP does not affect this module.
+//! faster than the client reads. Such connections are forced to a close. From [`BUSY_ACCEPT_TIME`] on, further
+//! requests behind open ones are refused as never run (from [`GRACE`] on where answers wait for the client to read
+//! them). At [`FORCED_ANSWER_AFTER`], what is still open on a connection in use is given up. Every wait in this
+//! module is bounded in real time, whatever clients and caches do. SIGHUP does not affect this module.
 
 use bitternhold::Micros;
 
@@ -22,39 +22,39 @@
 /// balancer in front learns that the router is not ready within 0.1 s and sends no new connection 0.2 s later.
 pub const GRACE: Micros = 400_000;
 /// For this long after the start of a drain or shutdown, requests are accepted on connections with open requests, in
-/// microseconds. Requests accepted by then have until [`GIVE_UP`] for their answer, longer than the aim of any
-/// class. Most connections have had a moment without an open request before.
-pub const TAKES: Micros = 1_000_000;
+/// microseconds. Requests accepted by then have until [`FORCED_ANSWER_AFTER`] for their answer, longer than the aim
+/// of any class. Most connections have had a moment without an open request before.
+pub const BUSY_ACCEPT_TIME: Micros = 1_000_000;
 /// The operators check connections this long after the start of a drain, in microseconds. At that time no connection
-/// may be idle or have had a request within [`RECENT`].
-pub const TERM: Micros = 4_000_000;
-/// A request within this time before [`TERM`] makes its connection count as held, in microseconds.
-pub const RECENT: Micros = 2_000_000;
+/// may be idle or have had a request within [`RECENT_REQUEST`].
+pub const CLOSE_DEADLINE: Micros = 4_000_000;
+/// A request within this time before [`CLOSE_DEADLINE`] makes its connection count as held, in microseconds.
+pub const RECENT_REQUEST: Micros = 2_000_000;
 /// Time after the start of a drain at which requests still open on a connection in use are given up, in microseconds.
-/// It leaves enough time before [`TERM`] to write the final answer, for the client to read it, and to close.
-pub const GIVE_UP: Micros = TERM - 600_000;
-/// From [`GIVE_UP`] on, a client that has read no byte of its waiting answers for this long, in microseconds, counts as
-/// no longer reading.
-pub const NOT_READING: Micros = 2_000_000;
+/// It leaves enough time before [`CLOSE_DEADLINE`] to write the final answer, for the client to read it, and to close.
+pub const FORCED_ANSWER_AFTER: Micros = CLOSE_DEADLINE - 600_000;
+/// From [`FORCED_ANSWER_AFTER`] on, a client that has read no byte of its waiting answers for this long, in
+/// microseconds, counts as no longer reading.
+pub const READ_STALL: Micros = 2_000_000;
 /// Time for the first request of a connection that came late, after the start of a drain or shutdown, in microseconds.
-pub const FIRST_WORD: Micros = 300_000;
+pub const FIRST_MESSAGE_TIMEOUT: Micros = 300_000;
 /// Time after SIGTERM in which clients may still arrive, in microseconds (0.4 s for connections, 0.2 s for requests).
-pub const LINGER: Micros = 700_000;
+pub const ARRIVAL_WINDOW: Micros = 700_000;
 /// Cap on the longest deadline in the time from SIGTERM to SIGKILL, in microseconds: SIGKILL follows after the longest
-/// deadline, capped at this value, plus [`LINGER`].
-pub const LONGEST_COUNTED: Micros = 3_000_000;
+/// deadline, capped at this value, plus [`ARRIVAL_WINDOW`].
+pub const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
 /// Margin before SIGKILL by which the last answers must be written, in microseconds: a timeout at the deadline reaches
 /// the client within 50 ms. Requests that are still open then are given up.
-pub const BEFORE_KILL: Micros = 150_000;
+pub const KILL_MARGIN: Micros = 150_000;
 /// Connections that wait for the client's own close are dropped this long before SIGKILL, in microseconds.
-pub const LAST_CLOSES: Micros = 100_000;
+pub const CLOSE_MARGIN: Micros = 100_000;
 /// If no SIGKILL comes, the process waits this long after the time of SIGKILL for clients that still read, in
 /// microseconds.
-pub const LATEST_EXIT: Micros = 10_000_000;
+pub const EXIT_OVERTIME: Micros = 10_000_000;
 
 /// For this long, in microseconds, a router whose turn for work has come still accepts requests. None of its clients'
 /// connections should be left by then.
-pub const ORDERED_TAKES: Micros = 4_000_000;
+pub const ORDERED_ACCEPT_TIME: Micros = 4_000_000;
 
 /// Phase of the router's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
 
 /// State of a client's connection that the drain decides on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ConnectionState {
     /// Number of requests whose answer is not completely written, including replies that need no decision.
     pub open: usize,
     /// Number of those whose answer is ready but waits for the client to take it.
@@ -80,18 +80,18 @@
     /// Arrival time of the last request.
     pub last_request: Option<Micros>,
     /// Earliest time at which the client can have read enough of its answers for a close; none if it can have already.
-    pub reads_until: Option<Micros>,
+    pub unread_until: Option<Micros>,
     /// The client was observed to read slowly.
-    pub reads_slowly: bool,
+    pub slow_reader: bool,
     /// The client has sent a message on this connection.
-    pub asked: bool,
+    pub had_request: bool,
     /// When the connection was accepted or last had activity.
-    pub used: Micros,
+    pub last_active: Micros,
 }
 
 /// Reason why a client's connection is not closed yet during a drain or shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hold {
+pub enum HoldReason {
     /// The grace period is not over: clients are still being sent to this router.
     Grace,
     /// Requests on the connection are open.
@@ -102,14 +102,14 @@
     FirstMessage,
 }
 
-impl Hold {
+impl HoldReason {
     /// Name of the reason in log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Hold::Grace => "grace",
-            Hold::OpenRequests => "open_requests",
-            Hold::UnreadAnswers => "unread_answers",
-            Hold::FirstMessage => "first_message",
+            HoldReason::Grace => "grace",
+            HoldReason::OpenRequests => "open_requests",
+            HoldReason::UnreadAnswers => "unread_answers",
+            HoldReason::FirstMessage => "first_message",
         }
     }
 }
@@ -139,7 +139,7 @@
     pub fn new() -> Self {
         Self {
             phase: Phase::Starting,
-            kill_after: LONGEST_COUNTED + LINGER,
+            kill_after: MAX_COUNTED_DEADLINE + ARRIVAL_WINDOW,
             signalled: 0,
             ordered: None,
             alone: false,
@@ -147,8 +147,8 @@
     }
 
     /// Sets the longest deadline of the site's classes, which determines when SIGKILL may follow SIGTERM.
-    pub fn with_longest(mut self, deadline: Micros) -> Self {
-        self.kill_after = deadline.min(LONGEST_COUNTED) + LINGER;
+    pub fn with_longest_deadline(mut self, deadline: Micros) -> Self {
+        self.kill_after = deadline.min(MAX_COUNTED_DEADLINE) + ARRIVAL_WINDOW;
         self
     }
 
@@ -185,29 +185,30 @@
         }
     }
 
-    /// The agreed order of work takes this router out: it drains, and after [`ORDERED_TAKES`] refuses every request, so
-    /// that nothing is lost when it is unplugged. A router that restarts while it is already `out` refuses at once.
-    pub fn order(&mut self, now: Micros, out: bool) {
+    /// The agreed order of work takes this router out: it drains, and after [`ORDERED_ACCEPT_TIME`] refuses every
+    /// request, so that nothing is lost when it is unplugged. A router that restarts while it is already `out`
+    /// refuses at once.
+    pub fn order_out(&mut self, now: Micros, out: bool) {
         let (since, began) = self.ordered.unwrap_or((now, false));
-        let since = if out { since.min(now.saturating_sub(ORDERED_TAKES)) } else { since };
+        let since = if out { since.min(now.saturating_sub(ORDERED_ACCEPT_TIME)) } else { since };
         self.ordered = Some((since, self.begin_drain(now) || began));
     }
 
     /// The router's turn for work is over: it serves again, unless staff have requested a drain as well.
-    pub fn release(&mut self) {
+    pub fn end_order(&mut self) {
         if let Some((_, true)) = self.ordered.take() {
             self.resume();
         }
     }
 
     /// Sets whether the router may pass on no request at all: it then refuses every request at once and is not ready.
-    pub fn alone(&mut self, alone: bool) {
+    pub fn set_alone(&mut self, alone: bool) {
         self.alone = alone;
     }
 
     /// Whether the router refuses every request because the agreed order of work takes it out.
     pub fn is_out(&self, now: Micros) -> bool {
-        self.ordered.is_some_and(|(since, _)| now >= since.saturating_add(ORDERED_TAKES))
+        self.ordered.is_some_and(|(since, _)| now >= since.saturating_add(ORDERED_ACCEPT_TIME))
     }
 
     /// Staff request that the router serves again. A router that is shutting down never does. Returns whether the phase
@@ -249,35 +250,36 @@
     }
 
     /// Whether a connection must be closed now: after the grace period, once no answer is owed on it. A connection that
-    /// came late and has sent nothing yet gets [`FIRST_WORD`] for its first request.
-    pub fn close(&self, now: Micros, seen: Seen) -> bool {
-        self.since().is_some() && self.hold(now, seen).is_none()
+    /// came late and has sent nothing yet gets [`FIRST_MESSAGE_TIMEOUT`] for its first request.
+    pub fn may_close(&self, now: Micros, seen: ConnectionState) -> bool {
+        self.since().is_some() && self.hold_reason(now, seen).is_none()
     }
 
     /// Why a connection is kept for now during a drain or shutdown.
-    pub fn hold(&self, now: Micros, seen: Seen) -> Option<Hold> {
-        hold(self.since()?, self.wait_for_reader_until(), now, seen)
+    pub fn hold_reason(&self, now: Micros, seen: ConnectionState) -> Option<HoldReason> {
+        hold_reason_since(self.since()?, self.wait_for_reader_until(), now, seen)
     }
 
     /// Why a request that arrives now on this connection and is due by `deadline` is refused, as never run; none if
-    /// it is accepted. A router that is shutting down accepts every request within [`LINGER`] of the signal, as
-    /// promised to clients, and later ones that it can answer before SIGKILL. After [`TAKES`], during a drain or
-    /// shutdown, no request is accepted on a connection with open requests: clients may keep using their connections,
-    /// and one that always has a request open would never be closed. From [`RECENT`] before [`TERM`] on, no request
-    /// is accepted at all, as its connection would count as held at [`TERM`].
-    pub fn refuses(&self, now: Micros, deadline: Micros, seen: Seen) -> Option<RefusalReason> {
+    /// it is accepted. A router that is shutting down accepts every request within [`ARRIVAL_WINDOW`] of the signal,
+    /// as promised to clients, and later ones that it can answer before SIGKILL. After [`BUSY_ACCEPT_TIME`], during a
+    /// drain or shutdown, no request is accepted on a connection with open requests: clients may keep using their
+    /// connections, and one that always has a request open would never be closed. From [`RECENT_REQUEST`] before
+    /// [`CLOSE_DEADLINE`] on, no request is accepted at all, as its connection would count as held at
+    /// [`CLOSE_DEADLINE`].
+    pub fn refusal(&self, now: Micros, deadline: Micros, seen: ConnectionState) -> Option<RefusalReason> {
         if self.alone || self.is_out(now) {
             return Some(RefusalReason::Withdrawn);
         }
         let since = self.since()?;
         let slow_reader =
-            seen.reads_slowly && seen.reads_until.is_some() && now < self.wait_for_reader_until();
+            seen.slow_reader && seen.unread_until.is_some() && now < self.wait_for_reader_until();
         let backlog = (seen.unwritten > 0 || slow_reader) && now >= since.saturating_add(GRACE);
-        let busy = seen.open > 0 && now >= since.saturating_add(TAKES);
-        let must_refuse = backlog || busy || now >= since.saturating_add(TERM - RECENT);
+        let busy = seen.open > 0 && now >= since.saturating_add(BUSY_ACCEPT_TIME);
+        let must_refuse = backlog || busy || now >= since.saturating_add(CLOSE_DEADLINE - RECENT_REQUEST);
         match self.phase {
-            Phase::Ending(_) if now < self.signalled.saturating_add(LINGER) => None,
-            Phase::Ending(_) if must_refuse || deadline.saturating_add(BEFORE_KILL) > self.kill_time() => {
+            Phase::Ending(_) if now < self.signalled.saturating_add(ARRIVAL_WINDOW) => None,
+            Phase::Ending(_) if must_refuse || deadline.saturating_add(KILL_MARGIN) > self.kill_time() => {
                 Some(RefusalReason::Ending)
             }
             Phase::Draining(_) if must_refuse => Some(RefusalReason::Draining),
@@ -285,11 +287,11 @@
         }
     }
 
-    /// Until when the router waits for clients that read slowly; after that, [`TERM`] or SIGKILL is too near.
+    /// Until when the router waits for clients that read slowly; after that, [`CLOSE_DEADLINE`] or SIGKILL is too near.
     fn wait_for_reader_until(&self) -> Micros {
-        let given_up_at = self.since().unwrap_or(0).saturating_add(GIVE_UP);
+        let given_up_at = self.since().unwrap_or(0).saturating_add(FORCED_ANSWER_AFTER);
         match self.phase {
-            Phase::Ending(_) => given_up_at.min(self.kill_time().saturating_sub(BEFORE_KILL)),
+            Phase::Ending(_) => given_up_at.min(self.kill_time().saturating_sub(KILL_MARGIN)),
             _ => given_up_at,
         }
     }
@@ -300,37 +302,40 @@
     }
 
     /// Whether the open requests of a connection must get their final answer now, because it would not be closed in
-    /// time otherwise: its last request is within [`RECENT`] of [`TERM`], or SIGKILL is near.
-    pub fn gives_up(&self, now: Micros, seen: Seen) -> bool {
+    /// time otherwise: its last request is within [`RECENT_REQUEST`] of [`CLOSE_DEADLINE`], or SIGKILL is near.
+    pub fn must_answer_now(&self, now: Micros, seen: ConnectionState) -> bool {
         let Some(since) = self.since() else { return false };
-        let in_use =
-            seen.last_request.is_some_and(|at| at.saturating_add(RECENT) >= since.saturating_add(TERM));
+        let in_use = seen
+            .last_request
+            .is_some_and(|at| at.saturating_add(RECENT_REQUEST) >= since.saturating_add(CLOSE_DEADLINE));
         let ending = matches!(self.phase, Phase::Ending(_));
-        let kill_is_near = ending && now.saturating_add(BEFORE_KILL) >= self.kill_time();
-        // Requests that a router accepts during shutdown after the check at TERM may be answered until SIGKILL.
-        let check_ahead = !ending || now < since.saturating_add(TERM);
-        kill_is_near || (in_use && check_ahead && now >= since.saturating_add(GIVE_UP))
+        let kill_is_near = ending && now.saturating_add(KILL_MARGIN) >= self.kill_time();
+        // Requests that a router accepts during shutdown after the check at CLOSE_DEADLINE may be answered until
+        // SIGKILL.
+        let check_ahead = !ending || now < since.saturating_add(CLOSE_DEADLINE);
+        kill_is_near || (in_use && check_ahead && now >= since.saturating_add(FORCED_ANSWER_AFTER))
     }
 
     /// Whether a connection with waiting answers must be cut off; its client has read none of them since `waits_since`.
-    pub fn cuts(&self, now: Micros, waits_since: Micros) -> bool {
+    pub fn must_cut_off(&self, now: Micros, waits_since: Micros) -> bool {
         let Some(since) = self.since() else { return false };
-        now >= since.saturating_add(GIVE_UP) && now >= waits_since.max(since).saturating_add(NOT_READING)
+        now >= since.saturating_add(FORCED_ANSWER_AFTER)
+            && now >= waits_since.max(since).saturating_add(READ_STALL)
     }
 
     /// Whether the rest of a partially received message is waited for before its connection is closed: only while a
     /// request would be accepted.
-    pub fn waits_for_halves(&self, now: Micros) -> bool {
-        self.since().is_none_or(|since| now < since.saturating_add(TAKES))
+    pub fn waits_for_partial_message(&self, now: Micros) -> bool {
+        self.since().is_none_or(|since| now < since.saturating_add(BUSY_ACCEPT_TIME))
     }
 
     /// How long a connection that this side has closed may wait for the client's own close: `usual`, or during a
     /// shutdown at most until shortly before SIGKILL, so that the process exits before it.
-    pub fn lingers(&self, now: Micros, usual: Micros) -> Micros {
+    pub fn close_timeout(&self, now: Micros, usual: Micros) -> Micros {
         match self.phase {
             Phase::Ending(_) => {
-                let left = self.kill_time().saturating_sub(LAST_CLOSES).saturating_sub(now);
-                if left > 0 { left.min(usual) } else { LAST_CLOSES }
+                let left = self.kill_time().saturating_sub(CLOSE_MARGIN).saturating_sub(now);
+                if left > 0 { left.min(usual) } else { CLOSE_MARGIN }
             }
             _ => usual,
         }
@@ -338,36 +343,42 @@
 
     /// Whether connections that wait for the client's own close must be dropped now, however recently they were closed,
     /// because SIGKILL is near.
-    pub fn is_last_moment(&self, now: Micros) -> bool {
-        matches!(self.phase, Phase::Ending(_)) && now.saturating_add(LAST_CLOSES) >= self.kill_time()
+    pub fn is_before_kill(&self, now: Micros) -> bool {
+        matches!(self.phase, Phase::Ending(_)) && now.saturating_add(CLOSE_MARGIN) >= self.kill_time()
     }
 
-    /// Whether the process may exit: a shutdown has begun, [`LINGER`] has passed since, no answer is owed and all
-    /// clients' connections are closed or have no answer left to write (`flushed`). From [`LATEST_EXIT`] after the
-    /// time of SIGKILL on, the process no longer waits for clients that read their answers too slowly.
+    /// Whether the process may exit: a shutdown has begun, [`ARRIVAL_WINDOW`] has passed since, no answer is owed and
+    /// all clients' connections are closed or have no answer left to write (`flushed`). From [`EXIT_OVERTIME`] after
+    /// the time of SIGKILL on, the process no longer waits for clients that read their answers too slowly.
     pub fn may_exit(&self, now: Micros, owed: usize, flushed: bool) -> bool {
         match self.phase {
-            Phase::Ending(_) if now >= self.kill_time().saturating_add(LATEST_EXIT) => true,
-            Phase::Ending(since) => now >= since.saturating_add(LINGER) && owed == 0 && flushed,
+            Phase::Ending(_) if now >= self.kill_time().saturating_add(EXIT_OVERTIME) => true,
+            Phase::Ending(since) => now >= since.saturating_add(ARRIVAL_WINDOW) && owed == 0 && flushed,
             _ => false,
         }
     }
 }
 
-fn hold(since: Micros, wait_for_reader_until: Micros, now: Micros, seen: Seen) -> Option<Hold> {
+fn hold_reason_since(
+    since: Micros,
+    wait_for_reader_until: Micros,
+    now: Micros,
+    seen: ConnectionState,
+) -> Option<HoldReason> {
     if now < since.saturating_add(GRACE) {
-        return Some(Hold::Grace);
+        return Some(HoldReason::Grace);
     }
     if seen.open > 0 {
-        return Some(Hold::OpenRequests);
+        return Some(HoldReason::OpenRequests);
     }
-    if seen.reads_until.is_some_and(|until| now < until.min(wait_for_reader_until)) {
-        return Some(Hold::UnreadAnswers);
+    if seen.unread_until.is_some_and(|until| now < until.min(wait_for_reader_until)) {
+        return Some(HoldReason::UnreadAnswers);
     }
-    let late_and_silent = !seen.asked && seen.used >= since;
-    let in_time = now < seen.used.saturating_add(FIRST_WORD);
-    let check_ahead = (since.saturating_add(GIVE_UP)..since.saturating_add(TERM)).contains(&now);
-    (late_and_silent && in_time && !check_ahead).then_some(Hold::FirstMessage)
+    let late_and_silent = !seen.had_request && seen.last_active >= since;
+    let in_time = now < seen.last_active.saturating_add(FIRST_MESSAGE_TIMEOUT);
+    let check_ahead =
+        (since.saturating_add(FORCED_ANSWER_AFTER)..since.saturating_add(CLOSE_DEADLINE)).contains(&now);
+    (late_and_silent && in_time && !check_ahead).then_some(HoldReason::FirstMessage)
 }
 
 #[cfg(test)]
@@ -376,15 +387,15 @@
 
     const S: Micros = 1_000_000;
 
-    fn idle(used: Micros) -> Seen {
-        Seen {
+    fn idle(used: Micros) -> ConnectionState {
+        ConnectionState {
             open: 0,
             unwritten: 0,
             last_request: None,
-            reads_until: None,
-            reads_slowly: false,
-            asked: true,
-            used,
+            unread_until: None,
+            slow_reader: false,
+            had_request: true,
+            last_active: used,
         }
     }
 
@@ -433,19 +444,19 @@
     fn connections_close_after_the_grace_period_once_all_is_answered() {
         let mut d = Drain::new();
         d.started();
-        assert!(!d.close(5 * S, idle(0)), "a serving router closes no connection");
+        assert!(!d.may_close(5 * S, idle(0)), "a serving router closes no connection");
         d.drain(10 * S);
-        assert!(!d.close(10 * S + GRACE - 1, idle(0)), "new clients are still being sent");
-        assert!(d.close(10 * S + GRACE, idle(0)));
-        let busy = Seen { open: 1, ..idle(10 * S) };
-        assert!(!d.close(12 * S, busy), "an open request is answered first");
+        assert!(!d.may_close(10 * S + GRACE - 1, idle(0)), "new clients are still being sent");
+        assert!(d.may_close(10 * S + GRACE, idle(0)));
+        let busy = ConnectionState { open: 1, ..idle(10 * S) };
+        assert!(!d.may_close(12 * S, busy), "an open request is answered first");
         // A connection that came late gets time for its first message, one from before the drain does not.
-        let late = Seen { asked: false, ..idle(10 * S + GRACE) };
-        assert!(!d.close(10 * S + GRACE + 1, late));
-        assert!(d.close(10 * S + GRACE + FIRST_WORD, late));
-        assert!(d.close(10 * S + GRACE, Seen { asked: false, ..idle(9 * S) }));
+        let late = ConnectionState { had_request: false, ..idle(10 * S + GRACE) };
+        assert!(!d.may_close(10 * S + GRACE + 1, late));
+        assert!(d.may_close(10 * S + GRACE + FIRST_MESSAGE_TIMEOUT, late));
+        assert!(d.may_close(10 * S + GRACE, ConnectionState { had_request: false, ..idle(9 * S) }));
         d.resume();
-        assert!(!d.close(20 * S, idle(0)), "a resumed router keeps its connections");
+        assert!(!d.may_close(20 * S, idle(0)), "a resumed router keeps its connections");
     }
 
     #[test]
@@ -458,38 +469,41 @@
         let mut e = Drain::new();
         e.started();
         e.end(10 * S);
-        assert!(!e.may_exit(10 * S + LINGER - 1, 0, true));
-        assert!(!e.may_exit(10 * S + LINGER, 1, true));
-        assert!(!e.may_exit(10 * S + LINGER, 0, false));
-        assert!(e.may_exit(10 * S + LINGER, 0, true));
+        assert!(!e.may_exit(10 * S + ARRIVAL_WINDOW - 1, 0, true));
+        assert!(!e.may_exit(10 * S + ARRIVAL_WINDOW, 1, true));
+        assert!(!e.may_exit(10 * S + ARRIVAL_WINDOW, 0, false));
+        assert!(e.may_exit(10 * S + ARRIVAL_WINDOW, 0, true));
     }
 
     #[test]
     fn a_shutdown_accepts_requests_that_can_be_answered_before_sigkill() {
-        let mut d = Drain::new().with_longest(2 * S);
+        let mut d = Drain::new().with_longest_deadline(2 * S);
         d.started();
-        let accepts = |d: &Drain, now, deadline| d.refuses(now, deadline, idle(0)).is_none();
+        let accepts = |d: &Drain, now, deadline| d.refusal(now, deadline, idle(0)).is_none();
         assert!(accepts(&d, S, 1000 * S), "a serving router accepts all requests");
         d.drain(10 * S);
         assert!(accepts(&d, 10 * S, 1000 * S), "a drained router accepts all requests at first");
         d.end(11 * S);
         // SIGKILL comes 2.7 s after SIGTERM at the soonest, whenever the drain came.
-        let kill_time = 11 * S + 2 * S + LINGER;
+        let kill_time = 11 * S + 2 * S + ARRIVAL_WINDOW;
         assert!(
-            accepts(&d, 11 * S + LINGER - 1, 1000 * S),
-            "requests within LINGER of the signal are accepted"
+            accepts(&d, 11 * S + ARRIVAL_WINDOW - 1, 1000 * S),
+            "requests within ARRIVAL_WINDOW of the signal are accepted"
         );
-        let late = 11 * S + LINGER;
-        assert!(accepts(&d, late, kill_time - BEFORE_KILL));
-        assert!(!accepts(&d, late, kill_time - BEFORE_KILL + 1));
-        assert!(!accepts(&d, 12 * S, kill_time - BEFORE_KILL), "the time of the drain applies too");
-        let mut long = Drain::new().with_longest(30 * S);
+        let late = 11 * S + ARRIVAL_WINDOW;
+        assert!(accepts(&d, late, kill_time - KILL_MARGIN));
+        assert!(!accepts(&d, late, kill_time - KILL_MARGIN + 1));
+        assert!(!accepts(&d, 12 * S, kill_time - KILL_MARGIN), "the time of the drain applies too");
+        let mut long = Drain::new().with_longest_deadline(30 * S);
         long.end(0);
-        let counted = LONGEST_COUNTED + LINGER;
-        assert!(accepts(&long, TAKES - 1, counted - BEFORE_KILL), "a longer deadline counts as 3 s");
-        assert!(!accepts(&long, TAKES - 1, counted));
-        let busy = Seen { open: 1, ..idle(0) };
-        assert_eq!(long.refuses(TAKES, counted - BEFORE_KILL, busy), Some(RefusalReason::Ending));
+        let counted = MAX_COUNTED_DEADLINE + ARRIVAL_WINDOW;
+        assert!(
+            accepts(&long, BUSY_ACCEPT_TIME - 1, counted - KILL_MARGIN),
+            "a longer deadline counts as 3 s"
+        );
+        assert!(!accepts(&long, BUSY_ACCEPT_TIME - 1, counted));
+        let busy = ConnectionState { open: 1, ..idle(0) };
+        assert_eq!(long.refusal(BUSY_ACCEPT_TIME, counted - KILL_MARGIN, busy), Some(RefusalReason::Ending));
     }
 
     /// Guards against a connection that is held beyond the drain's deadline by its client or by a cache. Requests
@@ -499,56 +513,64 @@
     fn a_drain_closes_every_connection_in_time() {
         let mut d = Drain::new();
         d.started();
-        let busy = |last_request| Seen { open: 2, last_request: Some(last_request), ..idle(0) };
-        assert!(!d.gives_up(9 * S, busy(9 * S)) && !d.cuts(9 * S, 0), "a serving router gives up no request");
+        let busy = |last_request| ConnectionState { open: 2, last_request: Some(last_request), ..idle(0) };
+        assert!(
+            !d.must_answer_now(9 * S, busy(9 * S)) && !d.must_cut_off(9 * S, 0),
+            "a serving router gives up no request"
+        );
         d.drain(10 * S);
-        let refused = |now, seen| d.refuses(now, 100 * S, seen);
-        assert_eq!(refused(10 * S + TAKES - 1, busy(0)), None);
-        assert_eq!(refused(10 * S + TAKES, busy(0)), Some(RefusalReason::Draining));
+        let refused = |now, seen| d.refusal(now, 100 * S, seen);
+        assert_eq!(refused(10 * S + BUSY_ACCEPT_TIME - 1, busy(0)), None);
+        assert_eq!(refused(10 * S + BUSY_ACCEPT_TIME, busy(0)), Some(RefusalReason::Draining));
         assert_eq!(refused(12 * S - 1, idle(0)), None, "an idle connection closes after its answer");
         assert_eq!(refused(12 * S, idle(0)), Some(RefusalReason::Draining));
-        let slow = Seen { unwritten: 1, ..busy(0) };
+        let slow = ConnectionState { unwritten: 1, ..busy(0) };
         assert_eq!(refused(10 * S + GRACE - 1, slow), None);
         assert_eq!(refused(10 * S + GRACE, slow), Some(RefusalReason::Draining));
-        let by = 10 * S + GIVE_UP;
-        assert!(!d.gives_up(by - 1, busy(by - 1)));
-        assert!(d.gives_up(by, busy(by - 1)));
-        assert!(d.gives_up(by, busy(12 * S)), "a request of the last 2 s before TERM");
-        assert!(!d.gives_up(14 * S, busy(12 * S - 1)), "an older request may keep waiting");
-        assert!(d.gives_up(14 * S, busy(14 * S - 1)), "until the client sends another one");
-        assert!(!d.cuts(by, by - NOT_READING + 1), "the client is still reading");
-        assert!(d.cuts(by, by - NOT_READING));
-        assert!(d.waits_for_halves(10 * S + TAKES - 1) && !d.waits_for_halves(10 * S + TAKES));
-        let late = Seen { asked: false, ..idle(by - 1) };
-        assert!(d.close(by, late), "also a connection that came late and has sent nothing");
+        let by = 10 * S + FORCED_ANSWER_AFTER;
+        assert!(!d.must_answer_now(by - 1, busy(by - 1)));
+        assert!(d.must_answer_now(by, busy(by - 1)));
+        assert!(d.must_answer_now(by, busy(12 * S)), "a request of the last 2 s before CLOSE_DEADLINE");
+        assert!(!d.must_answer_now(14 * S, busy(12 * S - 1)), "an older request may keep waiting");
+        assert!(d.must_answer_now(14 * S, busy(14 * S - 1)), "until the client sends another one");
+        assert!(!d.must_cut_off(by, by - READ_STALL + 1), "the client is still reading");
+        assert!(d.must_cut_off(by, by - READ_STALL));
         assert!(
-            !d.close(15 * S, Seen { asked: false, ..idle(15 * S - 1) }),
-            "a connection that comes after TERM has time for its first request"
+            d.waits_for_partial_message(10 * S + BUSY_ACCEPT_TIME - 1)
+                && !d.waits_for_partial_message(10 * S + BUSY_ACCEPT_TIME)
+        );
+        let late = ConnectionState { had_request: false, ..idle(by - 1) };
+        assert!(d.may_close(by, late), "also a connection that came late and has sent nothing");
+        assert!(
+            !d.may_close(15 * S, ConnectionState { had_request: false, ..idle(15 * S - 1) }),
+            "a connection that comes after CLOSE_DEADLINE has time for its first request"
         );
         d.end(15 * S);
         assert!(
-            !d.gives_up(15 * S + 1, busy(15 * S)),
-            "a request within LINGER may be answered until SIGKILL"
+            !d.must_answer_now(15 * S + 1, busy(15 * S)),
+            "a request within ARRIVAL_WINDOW may be answered until SIGKILL"
         );
     }
 
     /// Guards against a shutdown that is still waiting for clients or caches at SIGKILL, or for ever if none comes.
     #[test]
     fn a_shutdown_finishes_before_sigkill() {
-        let mut d = Drain::new().with_longest(2 * S);
+        let mut d = Drain::new().with_longest_deadline(2 * S);
         d.started();
         d.end(10 * S);
-        let kill_time = 10 * S + 2 * S + LINGER;
-        let hung = Seen { open: 1, last_request: Some(10 * S), ..idle(0) };
-        assert!(!d.gives_up(kill_time - BEFORE_KILL - 1, hung));
-        assert!(d.gives_up(kill_time - BEFORE_KILL, hung));
-        assert_eq!(d.lingers(11 * S, S), S);
-        assert_eq!(d.lingers(kill_time - BEFORE_KILL, S), BEFORE_KILL - LAST_CLOSES);
-        assert_eq!(d.lingers(kill_time, S), LAST_CLOSES);
-        assert!(!d.is_last_moment(kill_time - LAST_CLOSES - 1) && d.is_last_moment(kill_time - LAST_CLOSES));
+        let kill_time = 10 * S + 2 * S + ARRIVAL_WINDOW;
+        let hung = ConnectionState { open: 1, last_request: Some(10 * S), ..idle(0) };
+        assert!(!d.must_answer_now(kill_time - KILL_MARGIN - 1, hung));
+        assert!(d.must_answer_now(kill_time - KILL_MARGIN, hung));
+        assert_eq!(d.close_timeout(11 * S, S), S);
+        assert_eq!(d.close_timeout(kill_time - KILL_MARGIN, S), KILL_MARGIN - CLOSE_MARGIN);
+        assert_eq!(d.close_timeout(kill_time, S), CLOSE_MARGIN);
+        assert!(
+            !d.is_before_kill(kill_time - CLOSE_MARGIN - 1) && d.is_before_kill(kill_time - CLOSE_MARGIN)
+        );
         assert!(
-            !d.may_exit(kill_time + LATEST_EXIT - 1, 0, false)
-                && d.may_exit(kill_time + LATEST_EXIT, 1, false)
+            !d.may_exit(kill_time + EXIT_OVERTIME - 1, 0, false)
+                && d.may_exit(kill_time + EXIT_OVERTIME, 1, false)
         );
     }
 
@@ -594,39 +616,39 @@
     fn an_agreed_turn_drains_then_refuses_and_a_drain_by_staff_outlives_it() {
         let mut d = Drain::new();
         d.started();
-        d.order(10 * S, false);
-        d.order(11 * S, false);
-        let refused = |d: &Drain, now| d.refuses(now, 100 * S, idle(0));
+        d.order_out(10 * S, false);
+        d.order_out(11 * S, false);
+        let refused = |d: &Drain, now| d.refusal(now, 100 * S, idle(0));
         let accepts = |d: &Drain, now| refused(d, now).is_none();
         assert!(!d.ready() && accepts(&d, 12 * S - 1), "as in any drain");
-        assert_eq!(refused(&d, 10 * S + ORDERED_TAKES - 1), Some(RefusalReason::Draining));
-        assert_eq!(refused(&d, 10 * S + ORDERED_TAKES), Some(RefusalReason::Withdrawn));
+        assert_eq!(refused(&d, 10 * S + ORDERED_ACCEPT_TIME - 1), Some(RefusalReason::Draining));
+        assert_eq!(refused(&d, 10 * S + ORDERED_ACCEPT_TIME), Some(RefusalReason::Withdrawn));
         let mut again = Drain::new();
         again.started();
-        again.order(10 * S, true);
+        again.order_out(10 * S, true);
         assert!(!accepts(&again, 10 * S), "a router that starts while it is out refuses at once");
-        assert!(!accepts(&d, 10 * S + ORDERED_TAKES) && d.is_out(10 * S + ORDERED_TAKES));
-        d.release();
+        assert!(!accepts(&d, 10 * S + ORDERED_ACCEPT_TIME) && d.is_out(10 * S + ORDERED_ACCEPT_TIME));
+        d.end_order();
         assert!(d.ready() && accepts(&d, 20 * S));
         d.drain(21 * S);
-        d.order(22 * S, false);
-        d.release();
+        d.order_out(22 * S, false);
+        d.end_order();
         assert!(!d.ready(), "staff drained it");
         d.resume();
-        d.order(23 * S, false);
+        d.order_out(23 * S, false);
         assert!(!d.drain(24 * S), "it is draining already");
-        d.order(25 * S, false);
-        d.release();
+        d.order_out(25 * S, false);
+        d.end_order();
         assert!(!d.ready(), "staff drained it during its turn");
         d.resume();
-        d.order(30 * S, false);
+        d.order_out(30 * S, false);
         assert!(d.resume(), "staff may resume against the order");
-        d.order(31 * S, false);
+        d.order_out(31 * S, false);
         assert!(!d.ready(), "its turn continues");
-        d.release();
-        d.alone(true);
+        d.end_order();
+        d.set_alone(true);
         assert!(!d.ready() && !accepts(&d, 40 * S), "no request may be passed on");
-        d.alone(false);
+        d.set_alone(false);
         assert!(d.ready());
     }
 }
--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -159,17 +159,17 @@
     /// waits no longer for a quiet moment, what is open gets its final answer, and who does not read is cut off.
     pub fn let_go(&self) {
         let (now, drain) = (clock::now(), self.drain.borrow());
-        if drain.is_last_moment(now) {
+        if drain.is_before_kill(now) {
             self.closing.end_all();
         }
         for port in self.connections.borrow().values() {
             let seen = port.seen();
-            if drain.close(now, seen) {
+            if drain.may_close(now, seen) {
                 let _ = port.close.try_send(());
-            } else if port.is_waiting() && drain.gives_up(now, seen) {
+            } else if port.is_waiting() && drain.must_answer_now(now, seen) {
                 // Where its mailbox is full it is told at the next look.
                 let _ = self.director.try_send(Message::GiveUp { port: port.id });
-            } else if seen.unwritten > 0 && drain.cuts(now, port.takes_nothing_since()) {
+            } else if seen.unwritten > 0 && drain.must_cut_off(now, port.takes_nothing_since()) {
                 let _ = port.cut.try_send(CloseReason::Stalled);
             }
         }
--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -19,8 +19,8 @@
 use super::reading::Reading;
 use super::{Front, MOST_ANSWERS, MOST_OPEN};
 use crate::counters::{CloseReason, RefusalReason};
-use crate::drain::{Hold, Seen};
-use crate::framing::{Malformed, Messages};
+use crate::drain::{ConnectionState, HoldReason};
+use crate::framing::{Malformed, MessageReader};
 use crate::traffic::{Message, Port, Verdict};
 use crate::{clock, invariant, thrift};
 
@@ -164,25 +164,25 @@
     }
 
     /// What the drain goes by.
-    pub fn seen(&self) -> Seen {
-        Seen {
+    pub fn seen(&self) -> ConnectionState {
+        ConnectionState {
             open: self.open.get() + self.replies.get(),
             unwritten: self.owed.get() + self.replies.get(),
             last_request: self.last_request.get(),
-            reads_until: self.reading.reads_until(clock::now()),
-            reads_slowly: self.reading.is_slow(clock::now()),
-            asked: self.asked.get(),
-            used: self.used.get(),
+            unread_until: self.reading.reads_until(clock::now()),
+            slow_reader: self.reading.is_slow(clock::now()),
+            had_request: self.asked.get(),
+            last_active: self.used.get(),
         }
     }
 
     /// Why a drain or an end keeps it for now; none: it closes at its next look, or nothing lets it go.
     pub fn hold(&self, now: Micros) -> Option<&'static str> {
-        let hold = self.front.drain.borrow().hold(now, self.seen());
+        let hold = self.front.drain.borrow().hold_reason(now, self.seen());
         match hold {
             None if self.half.get() => Some("half_message"),
-            Some(Hold::OpenRequests) if self.owed.get() > 0 => Some("unwritten_answers"),
-            hold => hold.map(Hold::name),
+            Some(HoldReason::OpenRequests) if self.owed.get() > 0 => Some("unwritten_answers"),
+            hold => hold.map(HoldReason::name),
         }
     }
 
@@ -259,7 +259,7 @@
         self.owe(-(self.owed.get() as isize), -(self.held.get() as isize));
         if let Some(hurried) = hurried {
             let _ = self.front.director.send(Message::Left { port: self.id }).await;
-            let at_most = self.front.drain.borrow().lingers(clock::now(), LINGER);
+            let at_most = self.front.drain.borrow().close_timeout(clock::now(), LINGER);
             throw_away(&stream, at_most, hurried).await;
         }
         drop(stream);
@@ -292,14 +292,14 @@
         closes: &Receiver<()>,
     ) -> io::Result<End> {
         let front = &*self.front;
-        let mut frames = Messages::new(stream, thrift::measure, CHUNK).opened(came);
+        let mut frames = MessageReader::new(stream, thrift::measure, CHUNK).unread_since(came);
         let mut last_seq = 0;
         loop {
-            let begun = frames.begun();
+            let begun = frames.partial_since();
             let quiet = async {
                 // Looked at again after IDLE at the latest, as a request may have ended meanwhile.
                 let until = self.idle_until(begun).unwrap_or(clock::now() + IDLE);
-                clock::at(until).await;
+                clock::timer_at(until).await;
                 Err(ErrorKind::WouldBlock.into())
             };
             let asked = async {
@@ -311,7 +311,7 @@
                 Ok(Some(frame)) => frame,
                 // The client has closed, also where requests are open: nobody waits for them.
                 Ok(None) => return Ok(End::Left),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => match self.may_close(frames.begun()) {
+                Err(e) if e.kind() == ErrorKind::WouldBlock => match self.may_close(frames.partial_since()) {
                     Some(reason) => return Ok(End::Closing(reason)),
                     None => continue,
                 },
@@ -336,7 +336,7 @@
                     let body = frame.slice_ref(body);
                     // Its time runs from its last byte, wherever that lay until it was read: the deadline that is passed on
                     // must be no more than the client has left.
-                    match front.call(&fields, body, frames.came()) {
+                    match front.call(&fields, body, frames.received_at()) {
                         // Past what may be open: nothing has run, and `forget` must be read behind it.
                         Ok(call) if self.open.get() >= MOST_ANSWERS => {
                             Some(Reply::Verdict(seq, front.refuse(call, RefusalReason::TooManyOpen)))
@@ -372,7 +372,7 @@
 
     /// Why a drain or an end refuses a request that came now.
     fn refuses(&self, arrived: Micros, deadline: Micros) -> Option<RefusalReason> {
-        self.front.drain.borrow().refuses(arrived, deadline, self.seen())
+        self.front.drain.borrow().refusal(arrived, deadline, self.seen())
     }
 
     /// Why it closes, now that there was nothing to read: it is to, by its own time or because it was asked, and owes
@@ -380,7 +380,7 @@
     fn may_close(&self, begun: Option<Micros>) -> Option<CloseReason> {
         let now = clock::now();
         let idle = self.idle_until(begun).is_some_and(|until| until <= now);
-        let waits = self.front.drain.borrow().waits_for_halves(now);
+        let waits = self.front.drain.borrow().waits_for_partial_message(now);
         let half = waits && begun.is_some_and(|begun| now < begun + HALF);
         self.half.set(half);
         // Half a message for so long ends the connection with all that is open on it: who sends it is broken, and the
@@ -390,7 +390,7 @@
         }
         let front = &self.front;
         let room = front.wanted.replace(front.wanted.get().filter(|id| *id != self.id)) == Some(self.id);
-        let drained = front.drain.borrow().close(now, self.seen());
+        let drained = front.drain.borrow().may_close(now, self.seen());
         if self.seen().open > 0 {
             return None;
         }
@@ -431,7 +431,7 @@
             }
             written?;
             // Under a drain a connection goes with its last answer, before its client sends anew.
-            if self.owed.get() == 0 && self.front.drain.borrow().close(clock::now(), self.seen()) {
+            if self.owed.get() == 0 && self.front.drain.borrow().may_close(clock::now(), self.seen()) {
                 let _ = self.close.try_send(());
             }
         }
@@ -478,19 +478,21 @@
     let whole = |frame| (frame, Bytes::new(), Vec::new());
     match reply {
         Reply::Verdict(seq, Verdict::Served(body)) => {
-            let [head, tail] = thrift::answer("serve", seq, body.len(), &[], true);
+            let [head, tail] = thrift::encode_answer("serve", seq, body.len(), &[], true);
             (head, body, tail)
         }
         Reply::Verdict(seq, Verdict::Holds) => {
-            let [head, tail] = thrift::answer("serve", seq, 0, &[("keep", "1")], true);
+            let [head, tail] = thrift::encode_answer("serve", seq, 0, &[("keep", "1")], true);
             (head, Bytes::new(), tail)
         }
-        Reply::Verdict(seq, Verdict::Refused(refusal)) => whole(thrift::throttled(seq, refusal.backoff())),
-        Reply::Verdict(seq, Verdict::Failed) => whole(thrift::broken(seq)),
+        Reply::Verdict(seq, Verdict::Refused(refusal)) => {
+            whole(thrift::encode_throttled(seq, refusal.backoff()))
+        }
+        Reply::Verdict(seq, Verdict::Failed) => whole(thrift::encode_broken(seq)),
         Reply::Well(seq, good) => {
-            let [head, tail] = thrift::answer("isWell", seq, 0, &[], good);
+            let [head, tail] = thrift::encode_answer("isWell", seq, 0, &[], good);
             (head, Bytes::new(), tail)
         }
-        Reply::Unknown(seq, name) => whole(thrift::unknown_method(&name, seq)),
+        Reply::Unknown(seq, name) => whole(thrift::encode_unknown_method(&name, seq)),
     }
 }
--- a/silverspindle/src/front/request.rs
+++ b/silverspindle/src/front/request.rs
@@ -8,7 +8,7 @@
 
 use super::Front;
 use crate::counters::RefusalReason;
-use crate::feed::hex;
+use crate::feed::parse_hex_id;
 use crate::thrift;
 use crate::traffic::{Call, Taken, Verdict};
 
@@ -51,13 +51,13 @@
             Some(_) => None,
             None => Some(0),
         };
-        let named = |name: &str| given(name)?.filter(|t| hex(t).is_some()).map(str::to_owned);
+        let named = |name: &str| given(name)?.filter(|t| parse_hex_id(t).is_some()).map(str::to_owned);
         let read = || {
             let class = place(&self.catalogue.classes, given("method")?);
             let terms = self.catalogue.settings.classes.get(class)?;
             let token = passed("token")?;
             if (terms.effect == Effect::Deduplicated && token.is_none())
-                || body.len() > if terms.write { thrift::MOST_WRITE } else { 0 }
+                || body.len() > if terms.write { thrift::MAX_WRITE_BODY } else { 0 }
             {
                 return None;
             }
@@ -95,7 +95,7 @@
         let call = read().ok_or(Verdict::Failed)?;
         // An id is new with every request. Guards against answers that can't be told apart, and against floods
         // of one request: only the first goes on.
-        if hex(&call.rid).is_none_or(|rid| self.rids.borrow_mut().seen(arrived, rid)) {
+        if parse_hex_id(&call.rid).is_none_or(|rid| self.rids.borrow_mut().seen(arrived, rid)) {
             return Err(Verdict::Failed);
         }
         match self.taken.get() > self.most_taken.get() {
--- a/silverspindle/src/knowledge/exchange.rs
+++ b/silverspindle/src/knowledge/exchange.rs
@@ -23,7 +23,7 @@
 
 use super::Steady;
 use super::keys::{self, Tls};
-use crate::framing::Messages;
+use crate::framing::MessageReader;
 use crate::links::{Accepted, CONNECT, Connector, HANDSHAKE, STALL, Service, malformed, measure, within};
 use crate::traffic::Message;
 
@@ -43,11 +43,11 @@
 
 /// Descriptors that it may take.
 pub fn descriptors(conf: &Exchange) -> usize {
-    let gives = if conf.listen.is_some() { 1 + AT_THE_DOOR + conf.newcomers } else { 0 };
-    gives + conf.at_once.min(conf.donors.len())
+    let gives = if conf.listen.is_some() { 1 + AT_THE_DOOR + conf.max_newcomers } else { 0 };
+    gives + conf.max_donors_at_once.min(conf.donors.len())
 }
 
-async fn frame(frames: &mut Messages<impl AsyncRead + Unpin>) -> io::Result<bytes::Bytes> {
+async fn frame(frames: &mut MessageReader<impl AsyncRead + Unpin>) -> io::Result<bytes::Bytes> {
     let closed = || io::Error::new(io::ErrorKind::UnexpectedEof, "closed by the peer");
     frames.next().await?.ok_or_else(closed)
 }
@@ -101,7 +101,7 @@
             me,
             steady,
             tls: Rc::new(RefCell::new(Tls::read(&conf.files)?)),
-            giving: RefCell::new(Giving::new(conf.give_rate, conf.newcomers)),
+            giving: RefCell::new(Giving::new(conf.give_rate, conf.max_newcomers)),
             conf: RefCell::new(conf),
             at_the_door: Cell::new(0),
             director,
@@ -128,7 +128,7 @@
         match Tls::read(&conf.files) {
             Ok(tls) => {
                 *self.tls.borrow_mut() = tls;
-                self.giving.borrow_mut().set(conf.give_rate, conf.newcomers);
+                self.giving.borrow_mut().set(conf.give_rate, conf.max_newcomers);
                 *self.conf.borrow_mut() = conf.clone();
             }
             Err(e) => tracing::warn!("{e}; the old keys are kept"),
@@ -237,7 +237,7 @@
         let ids: Vec<InstanceId> = donors.iter().map(|(name, _)| InstanceId::of(name)).collect();
         let (at_once, until) = {
             let conf = self.conf.borrow();
-            (conf.at_once, self.steady.now() + conf.ask_for)
+            (conf.max_donors_at_once, self.steady.now() + conf.ask_period)
         };
         let mut plan = Asking::new(self.me, &ids, at_once, until);
         let (tell, told) = async_channel::bounded(ids.len().max(1));
@@ -301,7 +301,7 @@
         asked: Micros,
         stream: impl AsyncRead + AsyncWrite + Unpin,
     ) -> io::Result<Answer> {
-        let mut frames = Messages::new(stream, measure, CHUNK).or_stall(STALL);
+        let mut frames = MessageReader::new(stream, measure, CHUNK).with_stall_timeout(STALL);
         let mut taking = Taking::default();
         let mut next = within(CONNECT, "offer", frame(&mut frames)).await?;
         loop {
--- a/silverspindle/src/knowledge/mod.rs
+++ b/silverspindle/src/knowledge/mod.rs
@@ -15,7 +15,7 @@
 use silverspindle_knowledge::{Aspect, Ids, InstanceId, Item, Lifecycle, Source, Subject, Value};
 
 use crate::clock::{self, Stamp};
-use crate::feed::{Listed, Purged};
+use crate::feed::{ListEntry, PurgeTarget};
 
 pub mod exchange;
 pub mod keys;
@@ -53,7 +53,7 @@
 #[derive(Debug, Default)]
 pub struct Learnt {
     /// Purges that the router had not heard of.
-    pub purges: Vec<(Purged, Stamp)>,
+    pub purges: Vec<(PurgeTarget, Stamp)>,
     /// What the module starts from.
     pub inherited: Inherited,
     /// Items refused as out of their ranges.
@@ -70,7 +70,7 @@
     store: Store,
     list: OwnList,
     /// The own list's entries, to be told again with another state.
-    entries: BTreeMap<MemberId, Listed>,
+    entries: BTreeMap<MemberId, ListEntry>,
     /// What the director acts by, where that is not the own list's word.
     overruled: BTreeMap<MemberId, list::Listed>,
     /// Purges that the director knows of.
@@ -85,11 +85,11 @@
     }
 }
 
-fn named(what: Purged) -> silverspindle_knowledge::Purged {
+fn named(what: PurgeTarget) -> silverspindle_knowledge::Purged {
     match what {
-        Purged::Object(key) => silverspindle_knowledge::Purged::Object(key),
-        Purged::Group(EVERY_GROUP) => silverspindle_knowledge::Purged::All,
-        Purged::Group(group) => silverspindle_knowledge::Purged::Group(group),
+        PurgeTarget::Object(key) => silverspindle_knowledge::Purged::Object(key),
+        PurgeTarget::Group(EVERY_GROUP) => silverspindle_knowledge::Purged::All,
+        PurgeTarget::Group(group) => silverspindle_knowledge::Purged::Group(group),
     }
 }
 
@@ -119,7 +119,7 @@
     }
 
     /// The coordinator's word on members, as the director has taken it in.
-    pub fn listed(&mut self, complete: bool, members: &[Listed]) {
+    pub fn listed(&mut self, complete: bool, members: &[ListEntry]) {
         if complete {
             self.entries.clear();
             self.overruled.clear();
@@ -129,7 +129,7 @@
             self.entries.insert(m.member.id, m.clone());
         }
         self.entries.retain(|_, m| m.member.lifecycle != module::Lifecycle::Gone);
-        let entry = |m: &Listed| {
+        let entry = |m: &ListEntry| {
             let state = list::Listed { lifecycle: lifecycle(m.member.lifecycle), started: m.member.started };
             (m.member.id.0, state)
         };
@@ -137,7 +137,7 @@
     }
 
     /// The coordinator's word on a purge.
-    pub fn purged(&mut self, what: Purged, at: Stamp) {
+    pub fn purged(&mut self, what: PurgeTarget, at: Stamp) {
         let (what, at) = (named(what), at.as_micros());
         self.store.purged(clock::now(), what, at);
         let slot = self.purges.entry(what).or_insert(at);
@@ -149,7 +149,7 @@
 
     /// Entries whose state is another than what the director acts by: others' word came in, or has been
     /// overtaken by the own list. A member that is gone by hearsay is withheld like a draining one, and kept.
-    pub fn review(&mut self) -> Vec<Listed> {
+    pub fn review(&mut self) -> Vec<ListEntry> {
         let effective = self.list.effective(self.store.hearsay());
         let mut changed = Vec::new();
         for (id, entry) in &self.entries {
@@ -222,10 +222,10 @@
             }
             let at = Stamp::from_micros(at);
             match what {
-                silverspindle_knowledge::Purged::Object(key) => purges.push((Purged::Object(key), at)),
-                silverspindle_knowledge::Purged::Group(group) => purges.push((Purged::Group(group), at)),
+                silverspindle_knowledge::Purged::Object(key) => purges.push((PurgeTarget::Object(key), at)),
+                silverspindle_knowledge::Purged::Group(group) => purges.push((PurgeTarget::Group(group), at)),
                 silverspindle_knowledge::Purged::All => {
-                    purges.extend((0..GROUPS).map(|group| (Purged::Group(group), at)));
+                    purges.extend((0..GROUPS).map(|group| (PurgeTarget::Group(group), at)));
                 }
             }
         }
--- a/silverspindle/src/knowledge/snapshots.rs
+++ b/silverspindle/src/knowledge/snapshots.rs
@@ -57,8 +57,8 @@
     let file = path(&conf.directory, me);
     let mut failing = false;
     loop {
-        Timer::after(Duration::from_micros(conf.every)).await;
-        let written = shot(&file, me, conf.most, &director).await;
+        Timer::after(Duration::from_micros(conf.interval)).await;
+        let written = shot(&file, me, conf.max_size, &director).await;
         match written {
             None => return,
             Some(Ok(())) if failing => tracing::info!("{}: snapshots are written again", file.display()),
--- a/silverspindle/src/links.rs
+++ b/silverspindle/src/links.rs
@@ -19,7 +19,7 @@
 use silverspindle_knowledge::Source;
 use silverspindle_knowledge::protocol::{self, Malformed, Message, VERSION};
 
-use crate::framing::{self, Messages};
+use crate::framing::{self, MessageReader};
 use crate::knowledge::keys::Tls;
 
 /// A connection not up by then has failed; the same for its first frame.
@@ -109,7 +109,7 @@
     most: usize,
     mut each: impl FnMut(F) -> io::Result<()>,
 ) -> io::Result<()> {
-    let mut messages = Messages::new(stream, measure, CHUNK).or_stall(STALL);
+    let mut messages = MessageReader::new(stream, measure, CHUNK).with_stall_timeout(STALL);
     let mut whole = Pieces::up_to(most);
     while let Some(bytes) = messages.next().await? {
         match protocol::decode(&bytes).map_err(malformed)? {
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -112,10 +112,10 @@
         let (last, known) = config.known;
         let cleared = catalogue.settings.purge_done + catalogue.settings.purge_grace;
         let of_relays = conf.relay.as_ref().map(|_| known.clone());
-        known.into_iter().for_each(|event| director.news(event.news, ListKind::Cached));
+        known.into_iter().for_each(|event| director.news(event.update, ListKind::Cached));
         if let Some((snapshot, (me, _))) = conf.snapshot.clone().zip(who) {
             let file = snapshots::path(&snapshot.directory, me.instance);
-            match snapshots::read(&file, me.instance, snapshot.most) {
+            match snapshots::read(&file, me.instance, snapshot.max_size) {
                 Ok(None) => tracing::info!("no snapshot yet"),
                 Ok(Some((away, items))) => {
                     tracing::info!("snapshot: {} items, away {} ms", items.len(), away / 1000);
@@ -138,7 +138,7 @@
             hub = Some(own);
         }
         let longest = catalogue.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let drain = Rc::new(RefCell::new(Drain::new().with_longest(longest)));
+        let drain = Rc::new(RefCell::new(Drain::new().with_longest_deadline(longest)));
         let front =
             Front::new(catalogue.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
         director.count_in(front.counters());
@@ -162,11 +162,11 @@
             };
             if terms.work.is_some() {
                 board.wait_for_orders();
-                drain.borrow_mut().alone(terms.work.is_some_and(|work| !work.hold));
+                drain.borrow_mut().set_alone(terms.work.is_some_and(|work| !work.hold));
             }
             if terms.rules.is_some() {
                 board.wait();
-                drain.borrow_mut().alone(true);
+                drain.borrow_mut().set_alone(true);
             }
             let (hub, board, all) = (hub.clone(), board.clone(), agreed.clone());
             let ready = move |handle: agreement::Handle| {
@@ -292,7 +292,7 @@
         }
         let mut said = clock::now();
         // The listener goes once nobody comes any more; what lies in its queue is taken, read and answered first.
-        let nobody = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::LINGER);
+        let nobody = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::ARRIVAL_WINDOW);
         while !self.drain.borrow().may_exit(clock::now(), self.owed.get(), self.front.settled()) {
             if clock::now() >= nobody {
                 self.front.stop_accepting();
--- a/silverspindle/src/traffic.rs
+++ b/silverspindle/src/traffic.rs
@@ -20,7 +20,7 @@
 
 use crate::clock::Stamp;
 use crate::copies;
-use crate::feed::hex;
+use crate::feed::parse_hex_id;
 use crate::{clock, resp};
 
 pub use account::{Account, Refusal, SafeToRetry};
@@ -61,7 +61,7 @@
 impl Call {
     /// The object as a purge names it.
     pub fn key(&self) -> Option<u64> {
-        hex(&self.object)
+        parse_hex_id(&self.object)
     }
 
     /// What a copy for it is kept under.
@@ -340,7 +340,7 @@
         if let Some(tag) = &call.cached {
             put("holds", tag);
         }
-        resp::command(&[b"want", call.rid.as_bytes(), fields.as_bytes(), &call.body])
+        resp::encode_array(&[b"want", call.rid.as_bytes(), fields.as_bytes(), &call.body])
     }
 }
 
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -10,7 +10,7 @@
 
 use super::Attempt;
 use crate::clock::{Clock, Stamp};
-use crate::feed::{News, Purged};
+use crate::feed::{PurgeTarget, Update};
 use crate::steady::steady;
 
 /// A member by the coordinator's word.
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub enum Notice {
     /// An event of the coordinator's.
-    News(News),
+    News(Update),
     /// All copies from before then may be purged.
     PurgedBefore(Stamp),
     /// What was told since is the whole batch of these numbers.
@@ -87,8 +87,8 @@
     },
 }
 
-impl From<News> for Notice {
-    fn from(news: News) -> Self {
+impl From<Update> for Notice {
+    fn from(news: Update) -> Self {
         Self::News(news)
     }
 }
@@ -111,7 +111,7 @@
     /// The module's limits of what may be out to members, and whether it has set them aside.
     limits: RefCell<BTreeMap<MemberId, (f64, bool)>>,
     ready: RefCell<BTreeSet<MemberId>>,
-    purges: RefCell<HashMap<Purged, (u64, Micros)>>,
+    purges: RefCell<HashMap<PurgeTarget, (u64, Micros)>>,
     told: Cell<u64>,
 }
 
@@ -262,7 +262,7 @@
     }
 
     /// Notes a purge; those told longer ago than `keep` concern nothing that still waits.
-    pub fn purged(&self, now: Micros, what: Purged, keep: Micros) {
+    pub fn purged(&self, now: Micros, what: PurgeTarget, keep: Micros) {
         self.told.set(self.told.get() + 1);
         let mut purges = self.purges.borrow_mut();
         purges.retain(|_, (_, at)| now.saturating_sub(*at) <= keep);
@@ -287,9 +287,9 @@
             && !attempt.client.is_gone()
             && self.is_ready(to)
             && attempt.terms.source.is_none_or(|source| self.is_ready(source))
-            && !since(Purged::Group(attempt.call.group))
-            && !since(Purged::Group(EVERY_GROUP))
-            && !attempt.call.key().is_some_and(|key| since(Purged::Object(key)))
+            && !since(PurgeTarget::Group(attempt.call.group))
+            && !since(PurgeTarget::Group(EVERY_GROUP))
+            && !attempt.call.key().is_some_and(|key| since(PurgeTarget::Object(key)))
             // Decided before the feed's lease ran out, it asks for copies that may be purged.
             && oldest.is_none_or(|oldest| attempt.terms.max_age.is_some_and(|age| age <= oldest));
         let allows = match self.agreed.borrow().as_ref() {
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -14,8 +14,8 @@
 use rustix::io::Errno;
 
 use crate::clock;
-use crate::framing::Messages;
-use crate::resp::{self, Word};
+use crate::framing::MessageReader;
+use crate::resp::{self, AnswerCode};
 use crate::traffic::{Attempt, Descriptor, End, Message, Shared};
 
 /// Orders that may wait for an actor; a director that finds it full counts the attempt as never sent.
@@ -150,7 +150,7 @@
         let sweep_every = SWEEP.min(self.shared.catalogue.idle_close / IDLE_PART).max(SWEEP_LEAST);
         let mut due = clock::now() + sweep_every;
         loop {
-            let timer = clock::at(due);
+            let timer = clock::timer_at(due);
             let sweep = async {
                 timer.await;
                 None
@@ -342,7 +342,7 @@
         let tag = Bytes::from(format!("probe-{}", self.next_probe));
         let line = if self.retired { None } else { self.line_for(&tag, None) };
         let sent = line.and_then(|n| self.lines.get_mut(&n)).is_some_and(|line| {
-            let command = Command::Plain(resp::command(&[b"busy", &tag]));
+            let command = Command::Plain(resp::encode_array(&[b"busy", &tag]));
             line.streams.insert(tag, Stream::Probe(clock::now()));
             line.commands.try_send(command).is_ok()
         });
@@ -371,7 +371,7 @@
         };
         line.streams.remove(id);
         if attempt.written.get() {
-            let _ = line.commands.try_send(Command::Plain(resp::command(&[b"never_mind", id])));
+            let _ = line.commands.try_send(Command::Plain(resp::encode_array(&[b"never_mind", id])));
             line.crossing.insert(Bytes::copy_from_slice(id), clock::now());
         }
         // Guards against a machine that is cut off: its connections stay open and say nothing. New work
@@ -401,17 +401,20 @@
         match stream {
             Stream::Probe(since) => {
                 let elapsed = now.saturating_sub(since);
-                self.probed(answer.word.status(), elapsed, answer.load).await;
+                self.probed(answer.code.status(), elapsed, answer.load).await;
             }
             Stream::Attempt(attempt, _) => {
                 // A write's answer is no copy and has no name.
                 let classes = &self.shared.catalogue.settings.classes;
-                let whole = answer.name.is_some() || classes.get(attempt.call.class).is_some_and(|c| c.write);
-                let body = match answer.word {
-                    Word::Hit if whole => Some(frame.slice_ref(answer.body)),
+                let whole =
+                    answer.version.is_some() || classes.get(attempt.call.class).is_some_and(|c| c.write);
+                let body = match answer.code {
+                    AnswerCode::Hit if whole => Some(frame.slice_ref(answer.body)),
                     // The client's copy is the one only where the cache names that very copy.
-                    Word::Valid if answer.name.is_some_and(|(tag, _)| attempt.call.holds(tag)) => None,
-                    Word::Hit | Word::Valid | Word::Pong | Word::Sick => {
+                    AnswerCode::Valid if answer.version.is_some_and(|(tag, _)| attempt.call.holds(tag)) => {
+                        None
+                    }
+                    AnswerCode::Hit | AnswerCode::Valid | AnswerCode::Pong | AnswerCode::Sick => {
                         // It ends with the connection.
                         let id = Bytes::copy_from_slice(answer.id);
                         line.streams.insert(id, Stream::Attempt(attempt, now));
@@ -420,9 +423,9 @@
                     }
                     _ => None,
                 };
-                let (status, note) = (answer.word.status(), answer.note);
+                let (status, note) = (answer.code.status(), answer.note);
                 let (waited, load) = (answer.waited, answer.load);
-                let name = answer.name.map(|(tag, stamp)| (frame.slice_ref(tag), stamp));
+                let name = answer.version.map(|(tag, stamp)| (frame.slice_ref(tag), stamp));
                 self.end(End { ticket: attempt.ticket, status, note, waited, load, body, name }).await;
             }
         }
@@ -521,7 +524,9 @@
         let longest = Duration::from_micros(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
         let read = async {
             // Nobody waits longer than the longest deadline for the rest of an answer that goes on and on.
-            let mut answers = Messages::new(stream, resp::measure, CHUNK).or_stall(STALL).within(longest);
+            let mut answers = MessageReader::new(stream, resp::measure, CHUNK)
+                .with_stall_timeout(STALL)
+                .with_message_timeout(longest);
             while let Some(frame) = answers.next().await? {
                 self.actor.send(Order::Answer(self.line, frame)).await.map_err(gone)?;
             }
--- a/silverspindle/src/withheld.rs
+++ b/silverspindle/src/withheld.rs
@@ -7,12 +7,12 @@
 
 use bitternhold::{Lifecycle, MemberId};
 
-use crate::feed::Listed;
+use crate::feed::ListEntry;
 
 /// The coordinator's entries, and who is withheld of them.
 #[derive(Debug, Default)]
 pub struct Withheld {
-    entries: BTreeMap<MemberId, Listed>,
+    entries: BTreeMap<MemberId, ListEntry>,
     out: BTreeSet<MemberId>,
     /// In per cent of the list's.
     weights: BTreeMap<MemberId, u32>,
@@ -20,7 +20,7 @@
 
 impl Withheld {
     /// Takes in what is told of members, by the coordinator or by hearsay, and makes of it what may be acted by.
-    pub fn told(&mut self, complete: bool, members: &mut [Listed]) {
+    pub fn told(&mut self, complete: bool, members: &mut [ListEntry]) {
         if complete {
             self.entries.clear();
         }
@@ -33,7 +33,7 @@
         }
     }
 
-    fn mask(&self, m: &mut Listed) {
+    fn mask(&self, m: &mut ListEntry) {
         if m.member.lifecycle == Lifecycle::Ready && self.out.contains(&m.member.id) {
             m.member.lifecycle = Lifecycle::Draining;
         }
@@ -43,21 +43,22 @@
     }
 
     /// Other weights hold from now on: the entries that change by that.
-    pub fn weigh(&mut self, weights: BTreeMap<MemberId, u32>) -> Vec<Listed> {
+    pub fn weigh(&mut self, weights: BTreeMap<MemberId, u32>) -> Vec<ListEntry> {
         let before = std::mem::replace(&mut self.weights, weights);
         let differs = |id: &&MemberId| before.get(id) != self.weights.get(id);
         let ids: BTreeSet<MemberId> =
             before.keys().chain(self.weights.keys()).filter(differs).copied().collect();
-        let mut changed: Vec<Listed> = ids.iter().filter_map(|id| self.entries.get(id).cloned()).collect();
+        let mut changed: Vec<ListEntry> = ids.iter().filter_map(|id| self.entries.get(id).cloned()).collect();
         changed.iter_mut().for_each(|m| self.mask(m));
         changed
     }
 
     /// Others are withheld from now on: the entries that change by that.
-    pub fn set(&mut self, out: BTreeSet<MemberId>) -> Vec<Listed> {
+    pub fn set(&mut self, out: BTreeSet<MemberId>) -> Vec<ListEntry> {
         let before = std::mem::replace(&mut self.out, out);
         let changed = before.symmetric_difference(&self.out).filter_map(|id| self.entries.get(id).cloned());
-        let mut changed: Vec<Listed> = changed.filter(|m| m.member.lifecycle == Lifecycle::Ready).collect();
+        let mut changed: Vec<ListEntry> =
+            changed.filter(|m| m.member.lifecycle == Lifecycle::Ready).collect();
         changed.iter_mut().for_each(|m| self.mask(m));
         changed
     }
@@ -68,7 +69,7 @@
     use super::*;
     use bitternhold::Member;
 
-    fn entry(id: u32, lifecycle: Lifecycle) -> Listed {
+    fn entry(id: u32, lifecycle: Lifecycle) -> ListEntry {
         let member = Member {
             id: MemberId(u64::from(id)),
             lifecycle,
@@ -78,10 +79,10 @@
             weight: 1.0,
             started: 0,
         };
-        Listed { member, address: ([127, 0, 0, 1], 1).into() }
+        ListEntry { member, address: ([127, 0, 0, 1], 1).into() }
     }
 
-    fn states(all: &[Listed]) -> Vec<(u64, Lifecycle)> {
+    fn states(all: &[ListEntry]) -> Vec<(u64, Lifecycle)> {
         all.iter().map(|m| (m.member.id.0, m.member.lifecycle)).collect()
     }
 
--- a/silverspindle/tests/actors.rs
+++ b/silverspindle/tests/actors.rs
@@ -8,11 +8,11 @@
 use async_io::Async;
 use bitternhold::Status;
 use bytes::Bytes;
-use common::world::{PEER, SOURCE, World};
+use common::world::{ActorHarness, PEER, SOURCE};
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use silverspindle::clock;
-use silverspindle::feed::Purged;
+use silverspindle::feed::PurgeTarget;
 use silverspindle::front::Front;
 use silverspindle::thrift;
 use silverspindle::traffic::{Board, Message, Verdict};
@@ -21,7 +21,7 @@
 #[test]
 fn orders_for_a_fill_are_spelt_out() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         world.peer().send(Order::Send(world.attempt(1, "00000000000000a1"))).await.unwrap();
         let (want, _) = world.cache.next().await;
         // An age under a millisecond must not become 0, which would mean the fresh time.
@@ -43,12 +43,12 @@
     let news: [fn(&Board); 4] = [
         |board| board.set_ready(PEER, false),
         |board| board.set_ready(SOURCE, false),
-        |board| board.purged(clock::now(), Purged::Group(17), 6_000_000),
-        |board| board.purged(clock::now(), Purged::Object(0x7f3a9c21e0b4d655), 6_000_000),
+        |board| board.purged(clock::now(), PurgeTarget::Group(17), 6_000_000),
+        |board| board.purged(clock::now(), PurgeTarget::Object(0x7f3a9c21e0b4d655), 6_000_000),
     ];
     for tell in news {
         run(async |tasks| {
-            let world = World::new(tasks, 9);
+            let world = ActorHarness::new(tasks, 9);
             let peer = world.peer();
             peer.try_send(Order::Send(world.attempt(1, "00000000000000a1"))).unwrap();
             tell(&world.shared.board);
@@ -66,7 +66,7 @@
 #[test]
 fn an_id_stands_once_on_a_connection() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let peer = world.peer();
         let first = world.attempt(1, "00000000000000a1");
         peer.send(Order::Send(first.clone())).await.unwrap();
@@ -92,7 +92,7 @@
 #[test]
 fn what_is_out_together_is_spread_over_connections() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let peer = world.peer();
         let mut lines = Vec::new();
         for ticket in 1..=3 {
@@ -117,7 +117,7 @@
     run(async |tasks| {
         let mut options = settings();
         options["deductions"] = serde_json::json!({"handshake": 0.08});
-        let world = World::with(tasks, 9, &options);
+        let world = ActorHarness::with(tasks, 9, &options);
         let peer = world.peer();
         let mut ticket = 0;
         let mut pair = async || {
@@ -145,7 +145,7 @@
 #[test]
 fn a_connection_carries_so_many_streams_and_descriptors_are_kept() {
     run(async |tasks| {
-        let world = World::new(tasks, 1);
+        let world = ActorHarness::new(tasks, 1);
         let peer = world.peer();
         for ticket in 0..33 {
             peer.send(Order::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
@@ -163,7 +163,7 @@
 #[test]
 fn after_silence_work_takes_a_new_connection() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let peer = world.peer();
         let first = world.attempt(1, "00000000000000a1");
         peer.send(Order::Send(first.clone())).await.unwrap();
@@ -189,7 +189,7 @@
     run(async |tasks| {
         let mut options = settings();
         options["limits"]["idle_close_ms"] = serde_json::json!(500.0);
-        let world = World::with(tasks, 9, &options);
+        let world = ActorHarness::with(tasks, 9, &options);
         let peer = world.peer();
         for ticket in 1..=2 {
             peer.send(Order::Send(world.attempt(ticket, "00000000000000a1"))).await.unwrap();
@@ -211,7 +211,7 @@
 #[test]
 fn each_answer_is_its_proof() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let peer = world.peer();
         for (word, status) in [
             ("HIT", Status::Ok),
@@ -232,7 +232,7 @@
 #[test]
 fn a_slow_reader_is_cut_off() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let (listener, address) = listen();
         let front = Front::new(
             world.shared.catalogue.clone(),
@@ -244,12 +244,12 @@
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
         let (slow, good) = (Client::connect(tasks, address).await, Client::connect(tasks, address).await);
         slow.send(&serve(1, &page("00000000000000a1"), b"")).await;
-        let Message::Request { port: first, .. } = world.ends.recv().await.unwrap() else { panic!() };
+        let Message::Request { port: first, .. } = world.messages.recv().await.unwrap() else { panic!() };
         good.send(&serve(7, &page("00000000000000a2"), b"")).await;
-        let Message::Request { port, seq, .. } = world.ends.recv().await.unwrap() else { panic!() };
+        let Message::Request { port, seq, .. } = world.messages.recv().await.unwrap() else { panic!() };
         port.answer(seq, Verdict::Served(Bytes::from_static(b"small")));
         first.answer(1, Verdict::Served(Bytes::from(vec![0; 1001])));
-        assert_eq!(good.next().await.unwrap(), served(7, b"small"));
+        assert_eq!(good.next().await.unwrap(), served_answer(7, b"small"));
         assert_eq!(slow.next().await, None);
         assert!(front.flushed());
     });
@@ -260,7 +260,7 @@
 #[test]
 fn a_client_with_much_to_take_is_refused_more() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let (front, address) = world.front(tasks, &Rc::default()).await;
         let client = Async::<std::net::TcpStream>::connect(address).await.unwrap();
         let ask = |seq: i32| {
@@ -281,13 +281,13 @@
         }
         ask(seq + 1);
         let mut all = Vec::new();
-        let refused = thrift::throttled(seq + 1, Some(200));
+        let refused = thrift::encode_throttled(seq + 1, Some(200));
         let mut piece = vec![0; 100_000];
         while !all.ends_with(&refused) {
             let n = (&client).read(&mut piece).await.unwrap();
             all.extend_from_slice(&piece[..n]);
         }
-        assert_eq!(all.len(), seq as usize * served(1, &body).len() + refused.len());
+        assert_eq!(all.len(), seq as usize * served_answer(1, &body).len() + refused.len());
         ask(seq + 2);
         let (_, again, _) = world.request().await;
         assert_eq!(again, seq + 2, "taken again once it has read");
@@ -298,7 +298,7 @@
 #[test]
 fn writes_past_the_memory_are_refused() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let (listener, address) = listen();
         let front = Front::new(
             world.shared.catalogue.clone(),
@@ -317,13 +317,13 @@
             serve(seq, &fields, &[7; 100])
         };
         client.send(&write(1)).await;
-        let first = world.ends.recv().await.unwrap();
+        let first = world.messages.recv().await.unwrap();
         client.send(&write(2)).await;
-        assert!(advice(&client.next().await.unwrap(), 2).is_some_and(|ms| ms > 0));
-        assert!(world.ends.is_empty());
+        assert!(backoff_advice(&client.next().await.unwrap(), 2).is_some_and(|ms| ms > 0));
+        assert!(world.messages.is_empty());
         drop(first);
         client.send(&write(3)).await;
-        let Message::Request { seq: 3, .. } = world.ends.recv().await.unwrap() else { panic!() };
+        let Message::Request { seq: 3, .. } = world.messages.recv().await.unwrap() else { panic!() };
     });
 }
 
@@ -332,7 +332,7 @@
 #[test]
 fn too_many_requests_are_refused_and_a_forget_behind_them_is_read() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let (listener, address) = listen();
         let front = Front::new(
             world.shared.catalogue.clone(),
@@ -353,16 +353,16 @@
             client.send(&request(seq)).await;
         }
         client.send(&forget(2)).await;
-        assert!(advice(&client.next().await.unwrap(), 65).is_some());
+        assert!(backoff_advice(&client.next().await.unwrap(), 65).is_some());
         let mut ports = Vec::new();
         for _ in 0..64 {
-            let Message::Request { port, .. } = world.ends.recv().await.unwrap() else { panic!() };
+            let Message::Request { port, .. } = world.messages.recv().await.unwrap() else { panic!() };
             ports.push(port);
         }
-        let Message::Forget { seq: 2, .. } = world.ends.recv().await.unwrap() else { panic!() };
+        let Message::Forget { seq: 2, .. } = world.messages.recv().await.unwrap() else { panic!() };
         ports[0].answer(5, Verdict::Failed);
-        assert_eq!(client.next().await.unwrap(), silverspindle::thrift::broken(5));
+        assert_eq!(client.next().await.unwrap(), silverspindle::thrift::encode_broken(5));
         client.send(&request(66)).await;
-        let Message::Request { seq: 66, .. } = world.ends.recv().await.unwrap() else { panic!() };
+        let Message::Request { seq: 66, .. } = world.messages.recv().await.unwrap() else { panic!() };
     });
 }
--- a/silverspindle/tests/clock_steps.rs
+++ b/silverspindle/tests/clock_steps.rs
@@ -10,7 +10,7 @@
 
 use async_io::{Async, Timer};
 use common::process::{Router, put, start_with};
-use common::sender::{Cached, Habit, MS, Sender, USUAL, serve_from};
+use common::sender::{CacheBehaviour, DEFAULT_BEHAVIOUR, MS, Sender, SenderBehaviour, serve_from};
 use common::*;
 use futures_lite::AsyncWriteExt;
 use silverspindle_standins::shim::ClockStep;
@@ -34,8 +34,8 @@
     /// A client of this habit sends through it.
     async fn start(
         tasks: &Tasks,
-        habit: Habit,
-        cached: Cached,
+        habit: SenderBehaviour,
+        cached: CacheBehaviour,
         edit: impl Fn(&mut serde_json::Value),
     ) -> Self {
         let (coordinator, nowhere) = listen();
@@ -83,8 +83,8 @@
     const LOST: Duration = Duration::from_millis(500);
     under_each_step(|step| {
         run(async |tasks| {
-            let habit = Habit { budget: "900", ..USUAL };
-            let stepped = Stepped::start(tasks, habit, Cached::Never, |_| ()).await;
+            let habit = SenderBehaviour { budget: "900", ..DEFAULT_BEHAVIOUR };
+            let stepped = Stepped::start(tasks, habit, CacheBehaviour::Never, |_| ()).await;
             stepped.clock.step_to(step).unwrap();
             stepped.more(12).await;
             let now = Instant::now();
@@ -102,8 +102,8 @@
 fn answers_are_served_across_a_step_of_the_wall_clock() {
     under_each_step(|step| {
         run(async |tasks| {
-            let habit = Habit { budget: "2500", ..USUAL };
-            let stepped = Stepped::start(tasks, habit, Cached::After(300 * MS, 1000), |_| ()).await;
+            let habit = SenderBehaviour { budget: "2500", ..DEFAULT_BEHAVIOUR };
+            let stepped = Stepped::start(tasks, habit, CacheBehaviour::After(300 * MS, 1000), |_| ()).await;
             let before = stepped.client.last.get();
             stepped.clock.step_to(step).unwrap();
             stepped.more(12).await;
@@ -123,7 +123,8 @@
     const KILL: Duration = Duration::from_millis(3700);
     under_each_step(|step| {
         run(async |tasks| {
-            let mut stepped = Stepped::start(tasks, USUAL, Cached::After(700 * MS, 1000), |_| ()).await;
+            let mut stepped =
+                Stepped::start(tasks, DEFAULT_BEHAVIOUR, CacheBehaviour::After(700 * MS, 1000), |_| ()).await;
             assert_eq!(put(&stepped.router, "/-/drain"), 200);
             let since = Instant::now();
             stepped.clock.step_to(step).unwrap();
@@ -189,7 +190,7 @@
             let (_router, cache, client, _kept, _directory) = start_wrong(tasks, offset).await;
             ask(&client, 1).await;
             hit(&cache).await;
-            assert_eq!(client.next().await.unwrap(), served(1, b"bytes"));
+            assert_eq!(client.next().await.unwrap(), served_answer(1, b"bytes"));
             Timer::after(Duration::from_millis(FRESH_MS + 200)).await;
             ask(&client, 2).await;
             let asked = async { Some(cache.next().await.0) };
--- a/silverspindle/tests/codecs.rs
+++ b/silverspindle/tests/codecs.rs
@@ -11,8 +11,8 @@
 use futures_lite::AsyncWriteExt;
 use proptest::prelude::*;
 use silverspindle::clock::{self, Stamp};
-use silverspindle::feed::{self, News, Purged};
-use silverspindle::framing::{Measure, Messages};
+use silverspindle::feed::{self, PurgeTarget, Update};
+use silverspindle::framing::{Measure, MessageReader};
 use silverspindle::{resp, thrift};
 
 fn frame(index: u64, kind: u8, payload: &[u8]) -> Vec<u8> {
@@ -54,8 +54,8 @@
         sizes in sizes(),
     ) {
         let fields = b"version=ab,why=aged,took=2.5,rep=inflight:7;util:0.61;x1:1.5,new=";
-        let mut bytes = resp::command(&[id.as_bytes(), b"HIT", fields, &body]);
-        bytes.extend(resp::command(&[b"probe-1", b"PONG"]));
+        let mut bytes = resp::encode_array(&[id.as_bytes(), b"HIT", fields, &body]);
+        bytes.extend(resp::encode_array(&[b"probe-1", b"PONG"]));
         let frames = in_pieces(&bytes, &sizes, resp::measure).unwrap();
         prop_assert_eq!(frames.len(), 2);
         let answer = resp::decode(&frames[0]).unwrap();
@@ -63,7 +63,7 @@
         prop_assert_eq!((answer.note, answer.waited), (Some(Note::Stale), Some(2500)));
         let load = answer.load.unwrap();
         prop_assert_eq!((load.active, load.cpu, load.link, load.waiting), (Some(7.0), Some(0.61), Some(1.5), None));
-        prop_assert_eq!(resp::decode(&frames[1]).unwrap().word.status(), Status::Ok);
+        prop_assert_eq!(resp::decode(&frames[1]).unwrap().code.status(), Status::Ok);
     }
 
     #[test]
@@ -78,14 +78,14 @@
         let frames = in_pieces(&bytes, &sizes, feed::measure).unwrap();
         let events: Vec<_> = frames.iter().map(|f| feed::decode(f).unwrap()).collect();
         prop_assert_eq!(events.iter().map(|e| e.index).collect::<Vec<_>>(), vec![7, 8, 9]);
-        let News::Members { complete: false, members } = &events[1].news else { panic!("no members") };
+        let Update::Members { complete: false, members } = &events[1].update else { panic!("no members") };
         let listed = &members[1];
         prop_assert_eq!(listed.address.to_string(), "127.0.0.9:6565");
         let m = &listed.member;
         prop_assert_eq!((m.id.0, m.lifecycle, m.zone, m.kind, m.cell), (u64::from(id), Lifecycle::Draining, 2, 1, 5));
         prop_assert_eq!((m.weight, m.started), (f64::from(weight) / 1000.0, u64::from(at) * 1000));
-        let purge = News::Purged { what: Purged::Group(17), at: Stamp::from_millis(u64::from(at)) };
-        prop_assert_eq!(&events[2].news, &purge);
+        let purge = Update::Purged { what: PurgeTarget::Group(17), at: Stamp::from_millis(u64::from(at)) };
+        prop_assert_eq!(&events[2].update, &purge);
     }
 
     /// Guards against a panic on input from a socket, and against memory allocated for a length that the input only
@@ -137,24 +137,24 @@
         let (listener, address) = listen();
         let client = Async::<TcpStream>::connect(address).await.unwrap();
         let (server, _) = listener.accept().await.unwrap();
-        let mut messages = Messages::new(&server, thrift::measure, 4096);
+        let mut messages = MessageReader::new(&server, thrift::measure, 4096);
         let (send, wake) =
             (serve(1, &page("9b1f03aa5c7e2d41"), b""), serve(2, &page("9b1f03aa5c7e2d42"), b""));
         let before = clock::now();
         let (first, _) = both(messages.next(), async { (&client).write_all(&send).await.unwrap() }).await;
-        assert!(first.unwrap().is_some() && messages.came() >= before, "read as it came");
+        assert!(first.unwrap().is_some() && messages.received_at() >= before, "read as it came");
         (&client).write_all(&wake).await.unwrap();
         let sent = clock::now();
         // The reader is busy elsewhere.
         server.readable().await.unwrap();
         Timer::after(Duration::from_millis(20)).await;
         assert!(messages.next().await.unwrap().is_some());
-        assert!(messages.came() <= sent, "{} us after it was sent", messages.came() - sent);
+        assert!(messages.received_at() <= sent, "{} us after it was sent", messages.received_at() - sent);
         // A connection that waited in the accept queue.
-        let mut late = Messages::new(&server, thrift::measure, 4096).opened(before);
+        let mut late = MessageReader::new(&server, thrift::measure, 4096).unread_since(before);
         (&client).write_all(&serve(3, &page("9b1f03aa5c7e2d43"), b"")).await.unwrap();
         server.readable().await.unwrap();
         assert!(late.next().await.unwrap().is_some());
-        assert_eq!(late.came(), before);
+        assert_eq!(late.received_at(), before);
     });
 }
--- a/silverspindle/tests/common/mod.rs
+++ b/silverspindle/tests/common/mod.rs
@@ -22,7 +22,7 @@
 use proptest::test_runner::{Config as Cases, RngSeed};
 use serde_json::{Value, json};
 use silverspindle::config::Config;
-use silverspindle::framing::{Malformed, Measure, Messages, split};
+use silverspindle::framing::{Malformed, Measure, MessageReader, split};
 use silverspindle::serve::Router;
 use silverspindle::thrift;
 use silverspindle_conf::Conf;
@@ -193,7 +193,7 @@
 
 pub async fn reply(mut stream: &Async<TcpStream>, strings: &[&str]) {
     let strings: Vec<&[u8]> = strings.iter().map(|s| s.as_bytes()).collect();
-    stream.write_all(&silverspindle::resp::command(&strings)).await.unwrap();
+    stream.write_all(&silverspindle::resp::encode_array(&strings)).await.unwrap();
 }
 
 /// The value of a field in a command's FIELDS.
@@ -288,7 +288,7 @@
         let (tell, answers) = async_channel::unbounded();
         let own = stream.clone();
         let read = async move {
-            let mut answers = Messages::new(&*own, measure, 4096);
+            let mut answers = MessageReader::new(&*own, measure, 4096);
             while let Ok(Some(answer)) = answers.next().await {
                 let _ = tell.send(answer).await;
             }
@@ -302,7 +302,7 @@
     }
 
     /// Shuts down the writing side of the connection.
-    pub fn hang_up(&self) {
+    pub fn shutdown_write(&self) {
         self.stream.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
     }
 
@@ -311,37 +311,41 @@
         self.answers.recv().await.ok()
     }
 
-    pub async fn well(&self, seq: i32) -> bool {
+    pub async fn is_well(&self, seq: i32) -> bool {
         self.send(&call(1, "isWell", seq, &[2, 0, 1, 0, 0])).await;
         let answer = self.next().await.unwrap();
-        let [yes, no] = [true, false].map(|good| thrift::answer("isWell", seq, 0, &[], good).concat());
+        let [yes, no] = [true, false].map(|good| thrift::encode_answer("isWell", seq, 0, &[], good).concat());
         assert!(answer == yes || answer == no);
         answer == yes
     }
 }
 
-pub fn served(seq: i32, body: &[u8]) -> Vec<u8> {
-    let [mut head, tail] = thrift::answer("serve", seq, body.len(), &[], true);
+pub fn served_answer(seq: i32, body: &[u8]) -> Vec<u8> {
+    let [mut head, tail] = thrift::encode_answer("serve", seq, body.len(), &[], true);
     head.extend(body);
     head.extend(tail);
     head
 }
 
 /// Backoff advice of a refusal, in milliseconds; none if the answer is not a refusal with advice.
-pub fn advice(answer: &[u8], seq: i32) -> Option<u64> {
+pub fn backoff_advice(answer: &[u8], seq: i32) -> Option<u64> {
     let text = answer.strip_suffix(&[0, 0])?;
     let digits = text.iter().rev().take_while(|b| b.is_ascii_digit()).count();
     let ms = std::str::from_utf8(&text[text.len() - digits..]).ok()?.parse().ok()?;
-    (answer == thrift::throttled(seq, Some(ms))).then_some(ms)
+    (answer == thrift::encode_throttled(seq, Some(ms))).then_some(ms)
 }
 
 /// A router with these caches and an origin that never answers, and the listener of its coordinator.
 pub fn router(tasks: &Tasks, caches: &[SocketAddr]) -> (Router, Async<TcpListener>) {
-    small_router(tasks, caches, 1024)
+    router_with_sockets(tasks, caches, 1024)
 }
 
 /// As [`router`], with this limit of sockets.
-pub fn small_router(tasks: &Tasks, caches: &[SocketAddr], sockets: u64) -> (Router, Async<TcpListener>) {
+pub fn router_with_sockets(
+    tasks: &Tasks,
+    caches: &[SocketAddr],
+    sockets: u64,
+) -> (Router, Async<TcpListener>) {
     let (coordinator, address) = listen();
     let mut members: Vec<Value> = (1..).zip(caches).map(|(id, at)| entry(id, "box", *at)).collect();
     members.push(entry(99, "origin", address));
--- a/silverspindle/tests/common/office.rs
+++ b/silverspindle/tests/common/office.rs
@@ -9,9 +9,9 @@
 use super::*;
 
 /// A folder with the keys of one office, for the routers n0 to n3; each test has its own.
-pub struct Office(pub PathBuf);
+pub struct KeyFolder(pub PathBuf);
 
-impl Office {
+impl KeyFolder {
     pub fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!("office-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -43,7 +43,7 @@
     }
 }
 
-impl Drop for Office {
+impl Drop for KeyFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -51,7 +51,7 @@
 
 /// An address with a free port for a router that starts later. The port is reserved until the test ends, as other
 /// runs of these tests allocate ports too.
-pub fn free() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     static HELD: std::sync::Mutex<Vec<Port>> = std::sync::Mutex::new(Vec::new());
     let port = Port::hold(ip()).unwrap();
     let address = port.address;
--- a/silverspindle/tests/common/orders.rs
+++ b/silverspindle/tests/common/orders.rs
@@ -16,7 +16,7 @@
 use silverspindle::copies::Copies;
 use silverspindle::counters::{Counters, RefusalReason};
 use silverspindle::director::Director;
-use silverspindle::feed::{Listed, News, Purged};
+use silverspindle::feed::{ListEntry, PurgeTarget, Update};
 use silverspindle::traffic::{
     Attempt, Board, Call, Descriptors, End, Freshness, Lease, Message, Notice, Port, Shared, Taken, Verdict,
 };
@@ -229,7 +229,7 @@
     /// A request that has come just now, before a program with these settings.
     pub fn start(case: Case, program: &Rc<Catalogue>) -> Self {
         let time = Rc::new(Cell::new(START));
-        let board = Rc::new(Board::by(Clock::given(time.clone())));
+        let board = Rc::new(Board::by(Clock::manual(time.clone())));
         let feed = Rc::new(Feed::default());
         board.lease(feed.clone(), CLEARED);
         let (to_director, _) = async_channel::bounded(1);
@@ -274,7 +274,7 @@
             broken: None,
         };
         let list = play.members.values().cloned().map(listed).collect();
-        play.director.news(News::Members { complete: true, members: list }, ListKind::Cached);
+        play.director.news(Update::Members { complete: true, members: list }, ListKind::Cached);
         if case.own_copy {
             play.fill_own_copy();
         }
@@ -398,9 +398,9 @@
             Step::Drain => self.list(first, |m| m.lifecycle = Lifecycle::Draining),
             Step::Remove => self.list(first, |m| m.lifecycle = Lifecycle::Gone),
             Step::Return => self.list(first, |m| (m.lifecycle, m.cell) = (Lifecycle::Ready, m.cell + 10)),
-            Step::PurgeObject => self.purge(Purged::Object(OBJECT), 0),
-            Step::PurgeGroup => self.purge(Purged::Group(GROUP), 0),
-            Step::PurgeLately => self.purge(Purged::Object(OBJECT), COPY_AGE + 500 * MS),
+            Step::PurgeObject => self.purge(PurgeTarget::Object(OBJECT), 0),
+            Step::PurgeGroup => self.purge(PurgeTarget::Group(GROUP), 0),
+            Step::PurgeLately => self.purge(PurgeTarget::Object(OBJECT), COPY_AGE + 500 * MS),
             Step::LeaseOut => self.feed.0.set(true),
             Step::CopyDisplaced => self.director.message(Message::Room(0)),
             Step::CopyAged => self.pass_to(self.came + COPY_LEFT + MS),
@@ -432,13 +432,13 @@
             _ => drop(self.not_ready_since.entry(id).or_insert(self.time.get())),
         }
         let members = vec![listed(member.clone())];
-        self.director.notice(Notice::News(News::Members { complete: false, members }));
+        self.director.notice(Notice::News(Update::Members { complete: false, members }));
     }
 
-    fn purge(&mut self, what: Purged, age: Micros) {
+    fn purge(&mut self, what: PurgeTarget, age: Micros) {
         let at = self.now() - age;
         self.purges.push((self.now(), at));
-        self.director.notice(Notice::News(News::Purged { what, at: Stamp::from_micros(at) }));
+        self.director.notice(Notice::News(Update::Purged { what, at: Stamp::from_micros(at) }));
     }
 
     fn write(&mut self, index: usize) {
@@ -598,8 +598,8 @@
     Member { id: MemberId(id), lifecycle, zone, kind, cell, weight, started }
 }
 
-fn listed(member: Member) -> Listed {
-    Listed { member, address: SocketAddr::from((Ipv4Addr::LOCALHOST, 9)) }
+fn listed(member: Member) -> ListEntry {
+    ListEntry { member, address: SocketAddr::from((Ipv4Addr::LOCALHOST, 9)) }
 }
 
 /// A panic of the program's own is told with what led to it.
--- a/silverspindle/tests/common/process.rs
+++ b/silverspindle/tests/common/process.rs
@@ -14,7 +14,7 @@
 }
 
 /// Longest wait for an event that must happen; it only ends failing tests, and no test asserts on it.
-pub const AT_MOST: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A router that runs as a process.
 pub struct Router {
@@ -72,7 +72,7 @@
 /// Sends one HTTP request and returns the status code; checks that the response announces the close of the connection.
 pub fn call(address: SocketAddr, text: &str) -> u16 {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(AT_MOST)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream.write_all(text.as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
--- a/silverspindle/tests/common/relays.rs
+++ b/silverspindle/tests/common/relays.rs
@@ -14,26 +14,26 @@
 use serde_json::Value;
 use tracing_subscriber::fmt::MakeWriter;
 
-use super::office::{Office, free, named};
+use super::office::{KeyFolder, free_address, named};
 use super::*;
 
 /// A lease that expires soon.
-pub const SHORT: &str = "2500ms";
+pub const SHORT_LEASE: &str = "2500ms";
 /// A lease that does not expire during a test, however slow the machine.
-pub const LONG: &str = "1m";
+pub const LONG_LEASE: &str = "1m";
 const TERMS: &str = "relay-direct 2s\nrelay-batch 50ms\nrelay-report 200ms\n";
 const LOOK: Duration = Duration::from_millis(10);
 
 /// A coordinator with a log of events, numbered from 2 on. It sends them to each follower, with a repeated event that
 /// says that the follower is up to date.
 #[derive(Default)]
-pub struct Events {
+pub struct Coordinator {
     told: RefCell<Vec<Vec<u8>>>,
     /// If set, nothing is sent, not even the event that says that the follower is up to date.
     pub silent: Cell<bool>,
 }
 
-impl Events {
+impl Coordinator {
     /// Adds an event.
     pub fn tell(&self, kind: u8, payload: &[u8]) {
         let number = self.told.borrow().len() as u64 + 2;
@@ -89,7 +89,7 @@
 }
 
 /// A TCP proxy to an address whose connections can be cut.
-pub struct Gate {
+pub struct CuttableProxy {
     /// Address that the proxy listens on.
     pub address: SocketAddr,
     /// Channel that is closed while the proxy is cut.
@@ -97,7 +97,7 @@
     held: RefCell<Option<async_channel::Sender<()>>>,
 }
 
-impl Gate {
+impl CuttableProxy {
     pub fn to(tasks: &Tasks, target: SocketAddr) -> Self {
         let (listener, address) = listen();
         let open = Rc::new(RefCell::new(async_channel::bounded(1).1));
@@ -141,12 +141,12 @@
 }
 
 /// Path of a router's record file.
-pub fn records_path(office: &Office, name: &str) -> PathBuf {
+pub fn records_path(office: &KeyFolder, name: &str) -> PathBuf {
     office.0.join(format!("{name}.records.json"))
 }
 
 /// Operators' file of a router with this lease and further directives.
-pub fn terms(office: &Office, name: &str, lease: &str, more: &str) -> silverspindle_conf::Conf {
+pub fn relay_conf(office: &KeyFolder, name: &str, lease: &str, more: &str) -> silverspindle_conf::Conf {
     let records = records_path(office, name);
     let file = format!("{TERMS}relay-within {lease}\nrelay-records-file '{}'\n{more}", records.display());
     office.conf(name, &file)
@@ -160,7 +160,7 @@
 }
 
 /// Waits until a line matches; returns all lines up to then.
-pub async fn until_record(path: &Path, good: impl Fn(&Value) -> bool) -> Vec<Value> {
+pub async fn wait_for_record(path: &Path, good: impl Fn(&Value) -> bool) -> Vec<Value> {
     loop {
         let all = records(path);
         if all.iter().any(&good) {
@@ -172,9 +172,9 @@
 
 /// Waits until the log is applied up to this number, and checks that every record from number 1 on was applied once
 /// and in order.
-pub async fn until_applied(path: &Path, number: u64) -> Vec<Value> {
+pub async fn wait_for_applied(path: &Path, number: u64) -> Vec<Value> {
     let all =
-        until_record(path, |line| line["kind"] == "applied" && line["to"].as_u64() >= Some(number)).await;
+        wait_for_record(path, |line| line["kind"] == "applied" && line["to"].as_u64() >= Some(number)).await;
     let mut applied = 1;
     for line in all.iter().filter(|line| line["kind"] == "applied") {
         assert_eq!(line["from"], applied, "{all:?}");
@@ -184,7 +184,7 @@
 }
 
 /// Waits until the latest mode in the records is this one.
-pub async fn until_mode(path: &Path, mode: &str) {
+pub async fn wait_for_mode(path: &Path, mode: &str) {
     loop {
         let all = records(path);
         if all.iter().rfind(|line| line["kind"] == "mode").is_some_and(|line| line["mode"] == mode) {
@@ -195,7 +195,7 @@
 }
 
 /// Waits until a condition holds.
-pub async fn until(good: impl Fn() -> bool) {
+pub async fn wait_until(good: impl Fn() -> bool) {
     while !good() {
         Timer::after(LOOK).await;
     }
@@ -203,9 +203,9 @@
 
 /// Captured log lines of this thread.
 #[derive(Clone, Default)]
-pub struct Lines(Arc<Mutex<Vec<u8>>>);
+pub struct CapturedLog(Arc<Mutex<Vec<u8>>>);
 
-impl Lines {
+impl CapturedLog {
     /// Captures log lines until the guard is dropped.
     pub fn capture() -> (Self, tracing::subscriber::DefaultGuard) {
         let lines = Self::default();
@@ -220,7 +220,7 @@
     }
 }
 
-impl io::Write for Lines {
+impl io::Write for CapturedLog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -231,7 +231,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Lines {
+impl<'a> MakeWriter<'a> for CapturedLog {
     type Writer = Self;
 
     fn make_writer(&'a self) -> Self {
@@ -240,17 +240,21 @@
 }
 
 /// Starts a source of this office that follows a coordinator with these events; returns its address for children.
-pub fn source(tasks: &Tasks, office: &Office, lease: &str, events: &Rc<Events>) -> SocketAddr {
-    let at = free();
-    let conf =
-        terms(office, "n0", lease, &format!("relay-role source\nexchange-listen {at}\nrelay-children 20\n"));
+pub fn source(tasks: &Tasks, office: &KeyFolder, lease: &str, coordinator: &Rc<Coordinator>) -> SocketAddr {
+    let at = free_address();
+    let conf = relay_conf(
+        office,
+        "n0",
+        lease,
+        &format!("relay-role source\nexchange-listen {at}\nrelay-children 20\n"),
+    );
     let (_router, listener) = named(tasks, "n0", &[], conf);
-    events.serve(tasks, listener);
+    coordinator.serve(tasks, listener);
     at
 }
 
 /// Operators' file of a router with these parents.
-pub fn router(office: &Office, name: &str, lease: &str, parents: &[(&str, SocketAddr)]) -> Conf {
+pub fn router_conf(office: &KeyFolder, name: &str, lease: &str, parents: &[(&str, SocketAddr)]) -> Conf {
     let parents = parents.iter().map(|(name, at)| format!("relay-parent {name} {at}\n"));
-    terms(office, name, lease, &format!("relay-role router\n{}", parents.collect::<String>()))
+    relay_conf(office, name, lease, &format!("relay-role router\n{}", parents.collect::<String>()))
 }
--- a/silverspindle/tests/common/sender.rs
+++ b/silverspindle/tests/common/sender.rs
@@ -20,7 +20,7 @@
 
 /// Behaviour of a client.
 #[derive(Clone, Copy)]
-pub struct Habit {
+pub struct SenderBehaviour {
     /// Time between two requests.
     pub every: Duration,
     /// Time that the client waits for an answer, in milliseconds.
@@ -31,8 +31,8 @@
     pub halves: bool,
 }
 
-pub const USUAL: Habit =
-    Habit { every: Duration::from_millis(200), budget: "3000", reads: 1_000_000, halves: false };
+pub const DEFAULT_BEHAVIOUR: SenderBehaviour =
+    SenderBehaviour { every: Duration::from_millis(200), budget: "3000", reads: 1_000_000, halves: false };
 
 /// A client that keeps sending until its connection ends, and records what it sent and received.
 #[derive(Default)]
@@ -48,26 +48,26 @@
 }
 
 impl Sender {
-    pub async fn run(self: Rc<Self>, stream: Stream, habit: Habit) {
-        future::zip(self.read(&stream, habit), self.write(&stream, habit)).await;
+    pub async fn run(self: Rc<Self>, stream: Stream, behaviour: SenderBehaviour) {
+        future::zip(self.read(&stream, behaviour), self.write(&stream, behaviour)).await;
     }
 
     pub fn is_over(&self) -> bool {
         self.ended.borrow().is_some()
     }
 
-    async fn write(&self, mut stream: &Async<std::net::TcpStream>, habit: Habit) {
+    async fn write(&self, mut stream: &Async<std::net::TcpStream>, behaviour: SenderBehaviour) {
         let mut owed: Vec<u8> = Vec::new();
         while !self.is_over() {
             let seq = self.last.get() + 1;
             let (rid, object) = (format!("{seq:016x}"), format!("{:016x}", seq * 7919));
             let mut fields: Vec<(&str, &str)> = page("");
-            (fields[1].1, fields[2].1, fields[3].1) = (&rid, habit.budget, &object);
+            (fields[1].1, fields[2].1, fields[3].1) = (&rid, behaviour.budget, &object);
             let request = serve(seq, &fields, b"");
-            let half = if habit.halves { request.len() / 2 } else { request.len() };
+            let half = if behaviour.halves { request.len() / 2 } else { request.len() };
             let mut bytes = std::mem::take(&mut owed);
             // With halves, this write completes the previous request.
-            let whole = if habit.halves { seq - 1 } else { seq };
+            let whole = if behaviour.halves { seq - 1 } else { seq };
             bytes.extend(&request[..half]);
             owed.extend(&request[half..]);
             if stream.write_all(&bytes).await.is_err() {
@@ -77,16 +77,16 @@
             if whole > 0 {
                 self.sent.borrow_mut().insert(whole, Instant::now());
             }
-            Timer::after(habit.every).await;
+            Timer::after(behaviour.every).await;
         }
     }
 
-    async fn read(&self, mut stream: &Async<std::net::TcpStream>, habit: Habit) {
+    async fn read(&self, mut stream: &Async<std::net::TcpStream>, behaviour: SenderBehaviour) {
         let measure: Measure = |b| match b.first_chunk::<4>() {
             Some(length) => Ok(4 + u32::from_be_bytes(*length) as usize),
             None => Ok(4),
         };
-        let (mut buffer, mut piece) = (BytesMut::new(), vec![0; habit.reads.min(16_000)]);
+        let (mut buffer, mut piece) = (BytesMut::new(), vec![0; behaviour.reads.min(16_000)]);
         let end = loop {
             match stream.read(&mut piece).await {
                 Ok(0) => break Ok(()),
@@ -102,8 +102,8 @@
                     self.served.borrow_mut().insert(seq);
                 }
             }
-            if habit.reads < piece.len() * 10 {
-                Timer::after(MS * piece.len() as u32 / habit.reads as u32).await;
+            if behaviour.reads < piece.len() * 10 {
+                Timer::after(MS * piece.len() as u32 / behaviour.reads as u32).await;
             }
         };
         *self.ended.borrow_mut() = Some((Instant::now(), end));
@@ -127,7 +127,7 @@
 
 /// Behaviour of a cache.
 #[derive(Clone, Copy)]
-pub enum Cached {
+pub enum CacheBehaviour {
     /// Answers with a body of this many bytes after this time.
     After(Duration, usize),
     /// Never answers.
@@ -135,21 +135,21 @@
 }
 
 /// Starts a cache with this behaviour; returns its address.
-pub fn serve_from(tasks: &Tasks, cached: Cached) -> std::net::SocketAddr {
+pub fn serve_from(tasks: &Tasks, behaviour: CacheBehaviour) -> std::net::SocketAddr {
     let cache = Cache::start(tasks);
     let address = cache.address;
     let all = tasks.clone();
     let answer = async move {
         loop {
             let (command, line) = cache.next().await;
-            let Cached::After(time, bytes) = cached else { continue };
+            let CacheBehaviour::After(time, bytes) = behaviour else { continue };
             if command[0] == "want" {
                 let answer = async move {
                     Timer::after(time).await;
                     let body = "x".repeat(bytes);
                     let strings: [&[u8]; 4] =
                         [command[1].as_bytes(), b"HIT", NAMED.as_bytes(), body.as_bytes()];
-                    let _ = (&*line).write_all(&silverspindle::resp::command(&strings)).await;
+                    let _ = (&*line).write_all(&silverspindle::resp::encode_array(&strings)).await;
                 };
                 all.spawn(answer).detach();
             }
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -22,11 +22,11 @@
 
 /// A client that waits for its answers until the test marks it as gone.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct WaitingClient {
     pub gone: Cell<bool>,
 }
 
-impl Port for Waiting {
+impl Port for WaitingClient {
     fn id(&self) -> u64 {
         0
     }
@@ -38,27 +38,27 @@
 }
 
 /// Surroundings of the actor under test.
-pub struct World {
+pub struct ActorHarness {
     pub shared: Rc<Shared>,
-    pub ends: async_channel::Receiver<Message>,
+    pub messages: async_channel::Receiver<Message>,
     pub cache: Cache,
     /// The client that waits for the attempts of this test.
-    pub client: Rc<Waiting>,
+    pub client: Rc<WaitingClient>,
 }
 
-impl World {
+impl ActorHarness {
     pub fn new(tasks: &Tasks, descriptors: usize) -> Self {
         Self::with(tasks, descriptors, &settings())
     }
 
     pub fn with(tasks: &Tasks, descriptors: usize, options: &serde_json::Value) -> Self {
-        let (director, ends) = async_channel::bounded(1024);
+        let (director, messages) = async_channel::bounded(1024);
         let catalogue = Rc::new(Catalogue::read(options.as_object().unwrap()));
         let board = Rc::new(Board::default());
         [PEER, SOURCE].into_iter().for_each(|id| board.set_ready(id, true));
         let descriptors = Descriptors::new(descriptors);
         let shared = Rc::new(Shared { catalogue, board, descriptors, director, tasks: tasks.clone() });
-        Self { shared, ends, cache: Cache::start(tasks), client: Rc::default() }
+        Self { shared, messages, cache: Cache::start(tasks), client: Rc::default() }
     }
 
     pub fn peer(&self) -> async_channel::Sender<Order> {
@@ -125,7 +125,7 @@
     /// The next request that the front passes on.
     pub async fn request(&self) -> (Rc<dyn Port>, i32, Call) {
         loop {
-            match self.ends.recv().await.unwrap() {
+            match self.messages.recv().await.unwrap() {
                 Message::Request { port, seq, call } => return (port, seq, call),
                 Message::Left { .. } => {}
                 other => panic!("{other:?}"),
@@ -134,7 +134,7 @@
     }
 
     pub async fn end(&self) -> (u64, Status) {
-        match self.ends.recv().await.unwrap() {
+        match self.messages.recv().await.unwrap() {
             Message::Ended(end) => (end.ticket, end.status),
             other => panic!("{other:?}"),
         }
--- a/silverspindle/tests/copies.rs
+++ b/silverspindle/tests/copies.rs
@@ -2,7 +2,7 @@
 
 use silverspindle::clock::Stamp;
 use silverspindle::copies::{Copies, Key};
-use silverspindle::feed::Purged;
+use silverspindle::feed::PurgeTarget;
 
 const KEY: Key = (7, 0, 0);
 const S: u64 = 1_000_000;
@@ -19,7 +19,7 @@
 /// was given out before it.
 #[test]
 fn a_purge_drops_what_is_older_now_and_later() {
-    for what in [Purged::Object(7), Purged::Group(3)] {
+    for what in [PurgeTarget::Object(7), PurgeTarget::Group(3)] {
         let mut copies = copies(100_000);
         copies.keep(S, KEY, 3, b"old", at(5 * S), b"x");
         copies.keep(S, (8, 0, 0), 4, b"other", at(5 * S), b"x");
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -11,12 +11,12 @@
 
 use async_io::{Async, Timer};
 use bytes::Bytes;
-use common::world::World;
+use common::world::ActorHarness;
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use silverspindle::clock;
-use silverspindle::drain::{Drain, GRACE, LINGER};
-use silverspindle::framing::Messages;
+use silverspindle::drain::{ARRIVAL_WINDOW, Drain, GRACE};
+use silverspindle::framing::MessageReader;
 use silverspindle::front::MOST_OPEN;
 use silverspindle::thrift;
 use silverspindle::traffic::{Message, Verdict};
@@ -39,12 +39,12 @@
     drain.borrow_mut().drain(clock::now() - 10 * GRACE);
 }
 
-fn answers(stream: &Async<TcpStream>) -> Messages<&Async<TcpStream>> {
+fn answers(stream: &Async<TcpStream>) -> MessageReader<&Async<TcpStream>> {
     let measure: silverspindle::framing::Measure = |b| match b.first_chunk::<4>() {
         Some(length) => Ok(4 + u32::from_be_bytes(*length) as usize),
         None => Ok(4),
     };
-    Messages::new(stream, measure, 4096)
+    MessageReader::new(stream, measure, 4096)
 }
 
 /// Lets all tasks run until this holds.
@@ -58,20 +58,20 @@
 #[test]
 fn a_request_in_the_socket_goes_before_the_close() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         let client = Async::<TcpStream>::connect(address).await.unwrap();
         let mut read = answers(&client);
         (&client).write_all(&serve(1, &page(RID), b"")).await.unwrap();
         let (port, seq, _) = world.request().await;
         port.answer(seq, Verdict::Served(Bytes::from_static(b"a")));
-        assert_eq!(read.next().await.unwrap().unwrap(), served(1, b"a"));
+        assert_eq!(read.next().await.unwrap().unwrap(), served_answer(1, b"a"));
         drain_long_ago(&drain);
         // Both at once: the close is asked for, and the request lies in the socket.
         client.get_ref().write_all(&serve(2, &page(OTHER), b"")).unwrap();
         front.let_go();
         let answer = read.next().await.unwrap().expect("an answer before the end");
-        assert!(advice(&answer, 2).is_some(), "refused, so long after the drain");
+        assert!(backoff_advice(&answer, 2).is_some(), "refused, so long after the drain");
         assert_eq!(read.next().await.unwrap(), None, "then it closes");
     });
 }
@@ -81,7 +81,7 @@
 #[test]
 fn what_comes_after_the_shutdown_is_thrown_away_without_a_reset() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         let client = Async::<TcpStream>::connect(address).await.unwrap();
         (&client).write_all(&serve(1, &page(RID), b"")).await.unwrap();
@@ -99,11 +99,11 @@
         }
         let (mut all, mut client) = (Vec::new(), &client);
         client.read_to_end(&mut all).await.expect("an end, no reset");
-        assert_eq!(all, served(1, &[7; 100_000]));
+        assert_eq!(all, served_answer(1, &[7; 100_000]));
         client.get_ref().shutdown(Shutdown::Both).unwrap();
         front.stop_accepting();
         until(|| front.settled()).await;
-        while let Ok(message) = world.ends.try_recv() {
+        while let Ok(message) = world.messages.try_recv() {
             assert!(matches!(message, Message::Left { .. }), "sent on after the shutdown: {message:?}");
         }
     });
@@ -114,7 +114,7 @@
 #[test]
 fn half_a_message_behind_an_open_request_ends_its_connection_alone() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (_front, address) = world.front(tasks, &drain).await;
         let half = Client::connect(tasks, address).await;
         half.send(&serve(1, &page(RID), b"")).await;
@@ -126,7 +126,7 @@
         other.send(&serve(1, &page(THIRD), b"")).await;
         let (port, seq, _) = world.request().await;
         port.answer(seq, Verdict::Failed);
-        assert_eq!(other.next().await.unwrap(), thrift::broken(1));
+        assert_eq!(other.next().await.unwrap(), thrift::encode_broken(1));
     });
 }
 
@@ -134,10 +134,10 @@
 #[test]
 fn a_closed_connection_does_not_wait_for_its_client_for_ever() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
-        assert!(client.well(1).await);
+        assert!(client.is_well(1).await);
         drain_long_ago(&drain);
         front.let_go();
         assert_eq!(client.next().await, None);
@@ -150,18 +150,18 @@
 #[test]
 fn the_exit_lets_go_of_closed_connections_before_the_kill() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
-        let drain = Rc::new(RefCell::new(Drain::new().with_longest(0)));
+        let world = ActorHarness::new(tasks, 9);
+        let drain = Rc::new(RefCell::new(Drain::new().with_longest_deadline(0)));
         drain.borrow_mut().started();
         let (front, address) = world.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
-        assert!(client.well(1).await);
+        assert!(client.is_well(1).await);
         drain_long_ago(&drain);
         front.let_go();
         assert_eq!(client.next().await, None);
         front.stop_accepting();
         // SIGTERM was so long ago that SIGKILL may come.
-        drain.borrow_mut().end(clock::now() - 2 * LINGER);
+        drain.borrow_mut().end(clock::now() - 2 * ARRIVAL_WINDOW);
         let usual = async {
             Timer::after(Duration::from_secs(1)).await;
             panic!("waits for the client")
@@ -180,11 +180,11 @@
 #[test]
 fn the_exit_waits_for_a_request_that_waits_for_the_director() {
     run(async |tasks| {
-        let mut world = World::new(tasks, 9);
+        let mut world = ActorHarness::new(tasks, 9);
         let (director, ends) = async_channel::bounded(1);
         director.try_send(Message::Limits).unwrap();
         let shared = Rc::get_mut(&mut world.shared).unwrap();
-        (shared.director, world.ends) = (director, ends);
+        (shared.director, world.messages) = (director, ends);
         let drain = drain();
         let (front, address) = world.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
@@ -194,17 +194,17 @@
         front.stop_accepting();
         front.let_go();
         // No answer is owed by the director, none waits to be written; and yet it is not settled.
-        until(|| !world.ends.is_empty()).await;
+        until(|| !world.messages.is_empty()).await;
         for _ in 0..100 {
             future::yield_now().await;
         }
         drain.borrow_mut().end(clock::now());
         assert!(front.flushed() && !front.settled());
         assert!(!drain.borrow().may_exit(clock::now(), 0, front.settled()));
-        assert!(matches!(world.ends.recv().await.unwrap(), Message::Limits));
+        assert!(matches!(world.messages.recv().await.unwrap(), Message::Limits));
         let (port, seq, _) = world.request().await;
         port.answer(seq, Verdict::Failed);
-        assert_eq!(client.next().await.unwrap(), thrift::broken(1));
+        assert_eq!(client.next().await.unwrap(), thrift::encode_broken(1));
         assert_eq!(client.next().await, None);
         until(|| front.settled()).await;
     });
@@ -215,7 +215,7 @@
 #[test]
 fn the_exit_waits_for_what_lies_in_the_accept_queue() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         future::yield_now().await;
         drain_long_ago(&drain);
@@ -232,7 +232,7 @@
         let client = Async::new(client).unwrap();
         let mut all = Vec::new();
         (&client).read_to_end(&mut all).await.unwrap();
-        assert_eq!(all, thrift::broken(1));
+        assert_eq!(all, thrift::encode_broken(1));
         drop(client);
         until(|| front.settled()).await;
         assert!(TcpStream::connect(address).is_err(), "and then nobody is accepted");
@@ -259,7 +259,7 @@
     const LONGEST_SEGMENT: usize = 65_536;
     let unknown = "x".repeat(60_000);
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (listener, address) = listen();
         SockRef::from(&listener).set_send_buffer_size(SMALL_BUFFER).unwrap();
         let buffer = SockRef::from(&listener).send_buffer_size().unwrap();
@@ -269,12 +269,12 @@
         let mut replies = Vec::new();
         for seq in 1..=LONG_REPLIES {
             (&client).write_all(&call(1, &unknown, seq, &[0])).await.unwrap();
-            replies.extend(thrift::unknown_method(&unknown, seq));
+            replies.extend(thrift::encode_unknown_method(&unknown, seq));
         }
         assert!(replies.len() > buffers + 2 * LONGEST_SEGMENT, "{} bytes, {buffers}", replies.len());
         let well = LONG_REPLIES + 1;
         (&client).write_all(&call(1, "isWell", well, &[2, 0, 1, 0, 0])).await.unwrap();
-        replies.extend(thrift::answer("isWell", well, 0, &[], true).concat());
+        replies.extend(thrift::encode_answer("isWell", well, 0, &[], true).concat());
         // Read last, so all before it was read; dropped, nothing is owed for it.
         (&client).write_all(&serve(well + 1, &page(RID), b"")).await.unwrap();
         let (port, ..) = world.request().await;
@@ -300,7 +300,7 @@
 #[test]
 fn a_client_that_left_is_seen_before_its_reader_is() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (_front, address) = world.front(tasks, &drain).await;
         let leave: [fn(&TcpStream); 3] = [
             |s| s.shutdown(Shutdown::Write).unwrap(),
@@ -350,8 +350,8 @@
             let next = || future::or(one.next(), two.next());
             let (_, line) = next().await;
             // The client goes and the cache fails in one moment: the error is read with the client's end.
-            client.hang_up();
-            let fault = silverspindle::resp::command(&[RID.as_bytes(), b"FAULT", b"-", b""]);
+            client.shutdown_write();
+            let fault = silverspindle::resp::encode_array(&[RID.as_bytes(), b"FAULT", b"-", b""]);
             line.get_ref().write_all(&fault).unwrap();
             let other = Client::connect(tasks, router.address).await;
             other.send(&serve(1, &page(OTHER), b"")).await;
@@ -385,7 +385,7 @@
         let (want, line) = cache.next().await;
         assert_eq!(want[1], OTHER, "no attempt for a client that had gone");
         reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"b"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"b"));
         let mut rest = Vec::new();
         let _ = flood.read_to_end(&mut rest);
     });
@@ -397,7 +397,7 @@
 fn idle_clients_keep_neither_discovery_nor_new_clients_out() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
-        let (router, coordinator) = small_router(tasks, &[cache.address], 64);
+        let (router, coordinator) = router_with_sockets(tasks, &[cache.address], 64);
         let address = coordinator.get_ref().local_addr().unwrap();
         drop(coordinator.accept().await.unwrap());
         drop(coordinator);
@@ -416,7 +416,7 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, line) = cache.next().await;
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         let coordinator = loop {
             match Async::<std::net::TcpListener>::bind(address) {
                 Ok(listener) => break listener,
@@ -435,7 +435,7 @@
 #[test]
 fn an_answer_that_has_just_come_is_not_cut_off_for_want_of_a_reader() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         let client = Async::<TcpStream>::connect(address).await.unwrap();
         let mut read = answers(&client);
@@ -445,7 +445,7 @@
         port.answer(seq, Verdict::Served(Bytes::from_static(b"late")));
         // Before the writer has had its turn.
         front.let_go();
-        assert_eq!(read.next().await.unwrap().expect("an answer"), served(1, b"late"));
+        assert_eq!(read.next().await.unwrap().expect("an answer"), served_answer(1, b"late"));
         assert_eq!(read.next().await.unwrap(), None, "then it closes");
     });
 }
--- a/silverspindle/tests/crossing_lists.rs
+++ b/silverspindle/tests/crossing_lists.rs
@@ -8,12 +8,12 @@
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use silverspindle::coordinator::{Coordinator, Sink, Told};
-use silverspindle::feed::News;
+use silverspindle::feed::Update;
 use silverspindle::steady::steady;
 
 struct Feed {
     listener: Async<std::net::TcpListener>,
-    news: async_channel::Receiver<News>,
+    news: async_channel::Receiver<Update>,
     moves: async_channel::Sender<SocketAddr>,
 }
 
@@ -42,8 +42,8 @@
 async fn purged(feed: &Feed) -> u64 {
     loop {
         match feed.news.recv().await.unwrap() {
-            News::Purged { at, .. } => return at.as_micros() / 1000,
-            News::Nothing => {}
+            Update::Purged { at, .. } => return at.as_micros() / 1000,
+            Update::UpToDate => {}
             other => panic!("{other:?}"),
         }
     }
--- a/silverspindle/tests/crossing_peers.rs
+++ b/silverspindle/tests/crossing_peers.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use bitternhold::Status;
 use bytes::Bytes;
-use common::world::{PEER, SOURCE, World};
+use common::world::{ActorHarness, PEER, SOURCE};
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use serde_json::json;
@@ -75,7 +75,7 @@
 /// of repeats or its time ends, it is given up. It is not written then.
 #[test]
 fn what_was_overtaken_while_its_connection_came_up_is_never_written() {
-    let overtake: [fn(&World, &Attempt); 4] = [
+    let overtake: [fn(&ActorHarness, &Attempt); 4] = [
         |world, _| world.client.gone.set(true),
         |_, attempt| attempt.call.over.set(true),
         |world, _| world.shared.board.set_ready(SOURCE, false),
@@ -83,7 +83,7 @@
     ];
     for (n, overtake) in overtake.into_iter().enumerate() {
         run(async |tasks| {
-            let world = World::with(tasks, 9, &slow_dials());
+            let world = ActorHarness::with(tasks, 9, &slow_dials());
             let gate = Gate::closed();
             let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
             let attempt = world.attempt(1, RID);
@@ -103,7 +103,7 @@
 #[test]
 fn a_repeat_is_not_written_after_its_window() {
     run(async |tasks| {
-        let world = World::with(tasks, 9, &slow_dials());
+        let world = ActorHarness::with(tasks, 9, &slow_dials());
         let gate = Gate::closed();
         let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
         let mut attempt = Rc::into_inner(world.attempt(1, RID)).unwrap();
@@ -156,7 +156,7 @@
         let line = gate.open().await;
         assert!(reads_nothing(&line).await, "a repeat after its window");
         let answer = client.next().await.unwrap();
-        assert!(answer == thrift::broken(seq) || advice(&answer, seq).is_some());
+        assert!(answer == thrift::encode_broken(seq) || backoff_advice(&answer, seq).is_some());
     });
 }
 
@@ -184,7 +184,7 @@
             let line = gate.open().await;
             match tries {
                 1 => {
-                    assert!(advice(&client.next().await.unwrap(), 1).is_some());
+                    assert!(backoff_advice(&client.next().await.unwrap(), 1).is_some());
                     assert!(reads_nothing(&line).await);
                 }
                 _ => assert!(!reads_nothing(&line).await),
@@ -197,7 +197,7 @@
 #[test]
 fn an_attempt_follows_its_member_to_a_new_address() {
     run(async |tasks| {
-        let world = World::with(tasks, 9, &slow_dials());
+        let world = ActorHarness::with(tasks, 9, &slow_dials());
         let gate = Gate::closed();
         let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
@@ -218,7 +218,7 @@
 #[test]
 fn a_retired_peer_tells_every_end() {
     run(async |tasks| {
-        let world = World::with(tasks, 9, &slow_dials());
+        let world = ActorHarness::with(tasks, 9, &slow_dials());
         let gate = Gate::closed();
         let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
@@ -251,7 +251,7 @@
             let mut fields: Vec<(&str, &str)> = page(RID);
             (fields[1].1, fields[2].1) = (&rid, "60");
             client.send(&serve(seq, &fields, b"")).await;
-            let refused = async { advice(&client.next().await.unwrap(), seq).is_some() };
+            let refused = async { backoff_advice(&client.next().await.unwrap(), seq).is_some() };
             let sent = async {
                 while cache.next().await.0[0] != "want" {}
                 false
@@ -284,9 +284,9 @@
         client.send(&serve(2, &page(OTHER), b"")).await;
         let (_, line) = cache.next().await;
         reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
-        assert_eq!(client.next().await.unwrap(), served(2, b"b"));
+        assert_eq!(client.next().await.unwrap(), served_answer(2, b"b"));
         reply(&second, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -305,7 +305,7 @@
         reply(&line, &[RID, "VALID", NAMED, ""]).await;
         let (_, line) = next().await;
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -317,7 +317,7 @@
         for class in options["classes"].as_array_mut().unwrap() {
             class["deadline_ms"] = json!(500.0);
         }
-        let world = World::with(tasks, 9, &options);
+        let world = ActorHarness::with(tasks, 9, &options);
         let peer = world.peer();
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
         let (_, line) = world.cache.next().await;
@@ -343,7 +343,7 @@
     run(async |tasks| {
         let mut options = settings();
         options["limits"]["idle_close_ms"] = json!(600.0);
-        let world = World::with(tasks, 9, &options);
+        let world = ActorHarness::with(tasks, 9, &options);
         let peer = world.peer();
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
         let (_, one) = world.cache.next().await;
@@ -363,7 +363,7 @@
 fn what_waits_behind_a_full_socket_is_checked_as_it_is_written() {
     run(async |tasks| {
         let (listener, address) = listen();
-        let world = World::new(tasks, 1);
+        let world = ActorHarness::new(tasks, 1);
         let peer = silverspindle::upstream::Peer::start(PEER, address, &world.shared);
         let write = |ticket: u64, size: usize| {
             let mut attempt = Rc::into_inner(world.attempt(ticket, &format!("{ticket:016x}"))).unwrap();
@@ -405,7 +405,7 @@
 #[test]
 fn a_spoilt_connection_is_closed_before_its_ends_are_told() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let peer = world.peer();
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
         let (_, line) = world.cache.next().await;
@@ -424,7 +424,7 @@
 #[test]
 fn what_was_forbidden_on_one_connection_and_written_on_another_is_not_told_as_never_sent() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let peer = world.peer();
         let attempt = world.attempt(1, RID);
         peer.send(Order::Send(attempt.clone())).await.unwrap();
--- a/silverspindle/tests/distribution.rs
+++ b/silverspindle/tests/distribution.rs
@@ -11,7 +11,7 @@
 use bitternhold::Status;
 use common::office::*;
 use common::relays::{router, *};
-use common::world::World;
+use common::world::ActorHarness;
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use futures_rustls::TlsAcceptor;
@@ -22,7 +22,9 @@
 use silverspindle_agreement::PIECE;
 use silverspindle_knowledge::protocol::{self, Message, VERSION};
 use silverspindle_knowledge::{InstanceId, Source};
-use silverspindle_relay::{Batch, Entry, Frame, NodeId, Purged, Record, Report, Subscribe, Summary, Update};
+use silverspindle_relay::{
+    Batch, Entry, Frame, NodeId, PurgeTarget, Record, Report, Subscribe, Summary, Update,
+};
 
 /// What reaches a cache for a request, which is answered with a copy of this age.
 async fn want(client: &Client, cache: &Cache, seq: i32, object: &str, age_ms: u64) -> Command {
@@ -33,7 +35,7 @@
     let (want, line) = cache.next().await;
     let stamp = silverspindle::clock::now() / 1000 - age_ms;
     reply(&line, &[&rid, "HIT", &format!("version=4be0c1927d55a6f3,stamp={stamp},why=warm"), "x"]).await;
-    assert_eq!(client.next().await.unwrap(), served(seq, b"x"));
+    assert_eq!(client.next().await.unwrap(), served_answer(seq, b"x"));
     want
 }
 
@@ -54,7 +56,7 @@
         None
     });
     match first.await {
-        Some(answer) => answer == served(seq, b"x"),
+        Some(answer) => answer == served_answer(seq, b"x"),
         None => {
             client.next().await.unwrap();
             false
@@ -74,26 +76,30 @@
 #[test]
 fn a_router_takes_the_log_from_its_parent_alone() {
     run(async |tasks| {
-        let (office, events, at) = (Office::new(), Rc::new(Events::default()), free());
-        let above = source(tasks, &office, LONG, &events);
+        let (office, events, at) = (KeyFolder::new(), Rc::new(Coordinator::default()), free_address());
+        let above = source(tasks, &office, LONG_LEASE, &events);
         let relay =
             format!("relay-role relay\nexchange-listen {at}\nrelay-children 20\nrelay-parent n0 {above}\n");
-        let (_relay, silent_too) = named(tasks, "n1", &[], terms(&office, "n1", LONG, &relay));
+        let (_relay, silent_too) = named(tasks, "n1", &[], relay_conf(&office, "n1", LONG_LEASE, &relay));
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
-        let (below, silent) =
-            named(tasks, "n2", &[one.address, two.address], router(&office, "n2", LONG, &[("n1", at)]));
+        let (below, silent) = named(
+            tasks,
+            "n2",
+            &[one.address, two.address],
+            router_conf(&office, "n2", LONG_LEASE, &[("n1", at)]),
+        );
         let path = records_path(&office, "n2");
-        until_mode(&path, "relay").await;
+        wait_for_mode(&path, "relay").await;
         events.tell(2, &record(1, 1, one.address));
         (0..40).for_each(|n| events.purge(n));
         events.purge(u64::from_str_radix(OBJECT, 16).unwrap());
-        until_applied(&path, 43).await;
+        wait_for_applied(&path, 43).await;
         let client = Client::connect(tasks, below.address).await;
         // Box 1 drains; a copy from before the purge will not do.
         let wanted = want(&client, &two, 1, OBJECT, 0).await;
         assert!(newer(&wanted).is_some_and(|ms| ms < 60_000), "{wanted:?}");
         assert!(one.nothing_came());
-        let attempts = until_record(&path, |line| line["kind"] == "attempt").await;
+        let attempts = wait_for_record(&path, |line| line["kind"] == "attempt").await;
         let attempt = attempts.iter().find(|line| line["kind"] == "attempt").unwrap();
         assert_eq!((&attempt["number"], &attempt["mode"]), (&43.into(), &"relay".into()));
         assert_eq!((&attempt["object"], &attempt["group"]), (&OBJECT.into(), &17.into()));
@@ -108,26 +114,26 @@
 #[test]
 fn a_router_whose_parent_has_gone_takes_the_log_from_the_next_one() {
     run(async |tasks| {
-        let (office, events) = (Office::new(), Rc::new(Events::default()));
-        let above = source(tasks, &office, LONG, &events);
+        let (office, events) = (KeyFolder::new(), Rc::new(Coordinator::default()));
+        let above = source(tasks, &office, LONG_LEASE, &events);
         let relay = |name: &str| {
-            let at = free();
+            let at = free_address();
             let conf = format!(
                 "relay-role relay\nexchange-listen {at}\nrelay-children 20\nrelay-parent n0 {above}\n"
             );
-            let (_router, listener) = named(tasks, name, &[], terms(&office, name, LONG, &conf));
+            let (_router, listener) = named(tasks, name, &[], relay_conf(&office, name, LONG_LEASE, &conf));
             (at, listener)
         };
         let ((first, _one), (second, _two)) = (relay("n1"), relay("n2"));
-        let gate = Gate::to(tasks, first);
-        let conf = router(&office, "n3", LONG, &[("n1", gate.address), ("n2", second)]);
+        let gate = CuttableProxy::to(tasks, first);
+        let conf = router_conf(&office, "n3", LONG_LEASE, &[("n1", gate.address), ("n2", second)]);
         let (_router, silent) = named(tasks, "n3", &[], conf);
         let path = records_path(&office, "n3");
         events.purge(1);
-        until_applied(&path, 2).await;
+        wait_for_applied(&path, 2).await;
         gate.cut();
         (0..20).for_each(|n| events.purge(n));
-        until_applied(&path, 22).await;
+        wait_for_applied(&path, 22).await;
         assert!(future::poll_once(silent.accept()).await.is_none(), "the coordinator was asked");
     });
 }
@@ -137,25 +143,25 @@
 #[test]
 fn without_a_parent_a_router_follows_the_coordinator_for_as_long() {
     run(async |tasks| {
-        let (office, events) = (Office::new(), Rc::new(Events::default()));
-        let gate = Gate::to(tasks, source(tasks, &office, SHORT, &events));
+        let (office, events) = (KeyFolder::new(), Rc::new(Coordinator::default()));
+        let gate = CuttableProxy::to(tasks, source(tasks, &office, SHORT_LEASE, &events));
         let (_router, listener) =
-            named(tasks, "n1", &[], router(&office, "n1", SHORT, &[("n0", gate.address)]));
+            named(tasks, "n1", &[], router_conf(&office, "n1", SHORT_LEASE, &[("n0", gate.address)]));
         let following = events.serve(tasks, listener);
         let path = records_path(&office, "n1");
         events.purge(1);
-        until_applied(&path, 2).await;
-        until_mode(&path, "relay").await;
+        wait_for_applied(&path, 2).await;
+        wait_for_mode(&path, "relay").await;
         gate.cut();
-        until(|| following.get() == 1).await;
+        wait_until(|| following.get() == 1).await;
         events.purge(2);
-        until_applied(&path, 3).await;
-        until_mode(&path, "direct").await;
+        wait_for_applied(&path, 3).await;
+        wait_for_mode(&path, "direct").await;
         gate.mend();
-        until(|| following.get() == 0).await;
+        wait_until(|| following.get() == 0).await;
         events.purge(3);
-        until_applied(&path, 4).await;
-        until_mode(&path, "relay").await;
+        wait_for_applied(&path, 4).await;
+        wait_for_mode(&path, "relay").await;
     });
 }
 
@@ -164,13 +170,14 @@
 #[test]
 fn with_a_stale_feed_only_young_copies_are_asked_for_and_served() {
     run(async |tasks| {
-        let (office, events, cache) = (Office::new(), Rc::new(Events::default()), Cache::start(tasks));
-        let gate = Gate::to(tasks, source(tasks, &office, SHORT, &events));
-        let conf = router(&office, "n1", SHORT, &[("n0", gate.address)]);
+        let (office, events, cache) =
+            (KeyFolder::new(), Rc::new(Coordinator::default()), Cache::start(tasks));
+        let gate = CuttableProxy::to(tasks, source(tasks, &office, SHORT_LEASE, &events));
+        let conf = router_conf(&office, "n1", SHORT_LEASE, &[("n0", gate.address)]);
         let (below, _silent) = named(tasks, "n1", &[cache.address], conf);
         let path = records_path(&office, "n1");
         let client = Client::connect(tasks, below.address).await;
-        until_mode(&path, "relay").await;
+        wait_for_mode(&path, "relay").await;
         // Fresh: any copy will do, and an old one is kept. The start's reading may bind for a while.
         let mut seq = 0;
         loop {
@@ -187,7 +194,7 @@
             seq += 1;
         }
         gate.cut();
-        until_mode(&path, "safe").await;
+        wait_for_mode(&path, "safe").await;
         for (seq, object) in [(30_002, OTHER), (30_003, OBJECT), (30_004, OBJECT)] {
             let wanted = want(&client, &cache, seq, object, 20_000).await;
             assert!(newer(&wanted).is_some_and(|ms| ms <= 2_000), "{wanted:?}");
@@ -204,26 +211,26 @@
 #[test]
 fn a_router_that_is_too_far_behind_gets_what_the_records_come_to() {
     run(async |tasks| {
-        let (office, events, at) = (Office::new(), Rc::new(Events::default()), free());
+        let (office, events, at) = (KeyFolder::new(), Rc::new(Coordinator::default()), free_address());
         let more =
             format!("relay-role source\nexchange-listen {at}\nrelay-children 20\nrelay-records 1000\n");
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let caches = [one.address, two.address];
-        let (_source, listener) = named(tasks, "n0", &caches, terms(&office, "n0", LONG, &more));
+        let (_source, listener) = named(tasks, "n0", &caches, relay_conf(&office, "n0", LONG_LEASE, &more));
         events.serve(tasks, listener);
         events.tell(2, &record(1, 1, one.address));
         let purged = silverspindle::clock::now();
         (0..1500).for_each(|n| events.purge(n));
-        until_applied(&records_path(&office, "n0"), 1502).await;
-        let conf = router(&office, "n1", LONG, &[("n0", at)]);
+        wait_for_applied(&records_path(&office, "n0"), 1502).await;
+        let conf = router_conf(&office, "n1", LONG_LEASE, &[("n0", at)]);
         let (below, _silent) = named(tasks, "n1", &caches, conf);
         let path = records_path(&office, "n1");
-        let all = until_record(&path, |line| line["kind"] == "applied" && line["to"] == 1502).await;
+        let all = wait_for_record(&path, |line| line["kind"] == "applied" && line["to"] == 1502).await;
         let reset = all.iter().find(|line| line["kind"] == "reset").unwrap();
         let number = reset["number"].as_u64().unwrap();
         assert!(number > 400 && number <= 502, "{reset}");
         assert!(all.iter().any(|line| line["kind"] == "applied" && line["from"] == number), "joined on");
-        until_mode(&path, "relay").await;
+        wait_for_mode(&path, "relay").await;
         let client = Client::connect(tasks, below.address).await;
         let wanted = want(&client, &two, 1, OTHER, 0).await;
         // Of any object, no copy from before the last of the purges that it stands for.
@@ -237,12 +244,12 @@
 #[test]
 fn a_source_whose_coordinator_moves_goes_on_there() {
     run(async |tasks| {
-        let (office, events, at) = (Office::new(), Rc::new(Events::default()), free());
+        let (office, events, at) = (KeyFolder::new(), Rc::new(Coordinator::default()), free_address());
         let conf = || {
-            terms(
+            relay_conf(
                 &office,
                 "n0",
-                LONG,
+                LONG_LEASE,
                 &format!("relay-role source\nexchange-listen {at}\nrelay-children 20\n"),
             )
         };
@@ -250,15 +257,15 @@
         let before = events.serve(tasks, listener);
         let path = records_path(&office, "n0");
         events.purge(1);
-        until_applied(&path, 2).await;
+        wait_for_applied(&path, 2).await;
         let (elsewhere, address) = listen();
         let after = events.serve(tasks, elsewhere);
         let mut file = configuration(&[entry(99, "origin", address)], address);
         file["name"] = "n0".into();
         router.reload(config(&file), Ok(conf())).await;
-        until(|| before.get() == 0 && after.get() == 1).await;
+        wait_until(|| before.get() == 0 && after.get() == 1).await;
         events.purge(2);
-        until_applied(&path, 3).await;
+        wait_for_applied(&path, 3).await;
     });
 }
 
@@ -267,7 +274,7 @@
 fn what_a_source_knew_at_its_start_reads_back_from_its_records() {
     use bitternhold::{Lifecycle, Member, MemberId};
     use silverspindle::distribution::translate;
-    use silverspindle::feed::{Event, Listed, News};
+    use silverspindle::feed::{Event, ListEntry, Update};
     let (_, address) = listen();
     let member = Member {
         id: MemberId(7),
@@ -278,13 +285,14 @@
         weight: 1.25,
         started: 1_764_576_000_123_000,
     };
-    let members = vec![Listed { member, address }];
-    let whole = News::Members { complete: true, members };
-    let purge = News::Purged { what: Purged::Group(17), at: silverspindle::clock::Stamp::from_micros(5_000) };
-    let events = [Event { index: 4, news: whole.clone() }, Event { index: 9, news: purge.clone() }];
+    let members = vec![ListEntry { member, address }];
+    let whole = Update::Members { complete: true, members };
+    let purge =
+        Update::Purged { what: PurgeTarget::Group(17), at: silverspindle::clock::Stamp::from_micros(5_000) };
+    let events = [Event { index: 4, update: whole.clone() }, Event { index: 9, update: purge.clone() }];
     let records = translate::known(&events);
     assert_eq!(records.iter().map(|record| record.number).collect::<Vec<_>>(), [4, 9]);
-    let read: Vec<News> = records.iter().map(|record| translate::news(&record.entry).unwrap()).collect();
+    let read: Vec<Update> = records.iter().map(|record| translate::news(&record.entry).unwrap()).collect();
     assert_eq!(read, [whole, purge]);
     assert!(translate::news(&Entry::List(vec![1, 2, 3])).is_err(), "half a record");
     assert!(translate::news(&Entry::List(vec![0])).is_err(), "no list");
@@ -296,25 +304,25 @@
 fn what_a_relay_knew_at_its_start_is_told_to_a_child_that_knows_less() {
     use bitternhold::{Lifecycle, Member, MemberId};
     use silverspindle::distribution::translate;
-    use silverspindle::feed::{Event, Listed, News};
+    use silverspindle::feed::{Event, ListEntry, Update};
     use silverspindle_relay::{ANY_COPY, Log};
     let (_, address) = listen();
     let listed = |id, lifecycle| {
         let member =
             Member { id: MemberId(id), lifecycle, zone: 0, kind: 0, cell: 0, weight: 1.0, started: 0 };
-        Listed { member, address }
+        ListEntry { member, address }
     };
     let whole = vec![listed(1, Lifecycle::Ready), listed(2, Lifecycle::Ready)];
     let change = vec![listed(2, Lifecycle::Draining)];
     let events = [
-        Event { index: 4, news: News::Members { complete: true, members: whole } },
-        Event { index: 9, news: News::Members { complete: false, members: change } },
+        Event { index: 4, update: Update::Members { complete: true, members: whole } },
+        Event { index: 9, update: Update::Members { complete: false, members: change } },
     ];
     let start = translate::condensed(&events, 12);
     let reset = Log::starting_at(&start, 64).since(3).expect_err("no record is kept");
     assert_eq!((reset.number, reset.purged_before_ms), (12, ANY_COPY));
     let members = vec![listed(1, Lifecycle::Ready), listed(2, Lifecycle::Draining)];
-    assert_eq!(translate::list(&reset.list).unwrap(), News::Members { complete: true, members });
+    assert_eq!(translate::list(&reset.list).unwrap(), Update::Members { complete: true, members });
     assert_eq!(translate::condensed(&[], 0).purged_before_ms, 0, "nothing was before the first number");
 }
 
@@ -322,18 +330,19 @@
 #[test]
 fn with_a_stale_feed_no_old_copy_of_its_own_is_served_where_caches_need_no_limit() {
     run(async |tasks| {
-        let (office, events, cache) = (Office::new(), Rc::new(Events::default()), Cache::start(tasks));
-        let gate = Gate::to(tasks, source(tasks, &office, SHORT, &events));
-        let conf = router(&office, "n1", SHORT, &[("n0", gate.address)]);
+        let (office, events, cache) =
+            (KeyFolder::new(), Rc::new(Coordinator::default()), Cache::start(tasks));
+        let gate = CuttableProxy::to(tasks, source(tasks, &office, SHORT_LEASE, &events));
+        let conf = router_conf(&office, "n1", SHORT_LEASE, &[("n0", gate.address)]);
         let soon =
             |file: &mut serde_json::Value| file["settings"]["family_info"]["cleared_within_ms"] = 600.into();
         let (below, _silent) = named_with(tasks, "n1", &[cache.address], conf, soon);
         let path = records_path(&office, "n1");
         let client = Client::connect(tasks, below.address).await;
-        until_mode(&path, "relay").await;
+        wait_for_mode(&path, "relay").await;
         want(&client, &cache, 1, OBJECT, 20_000).await;
         gate.cut();
-        until_mode(&path, "safe").await;
+        wait_for_mode(&path, "safe").await;
         assert_eq!(newer(&want(&client, &cache, 2, OBJECT, 0).await), None);
     });
 }
@@ -361,7 +370,7 @@
 #[test]
 fn what_was_decided_before_the_lease_ran_out_is_not_written_after() {
     run(async |tasks| {
-        let (world, feed) = (World::new(tasks, 8), Rc::new(Scripted::default()));
+        let (world, feed) = (ActorHarness::new(tasks, 8), Rc::new(Scripted::default()));
         world.shared.board.lease(feed.clone(), 6_500_000);
         let peer = world.peer();
         let attempt = |ticket: u64, rid: &str, max_age| {
@@ -394,7 +403,7 @@
 #[test]
 fn without_a_role_the_coordinator_is_followed_and_nobody_subscribes() {
     run(async |tasks| {
-        let (office, at, cache) = (Office::new(), free(), Cache::start(tasks));
+        let (office, at, cache) = (KeyFolder::new(), free_address(), Cache::start(tasks));
         let (off, coordinator) =
             named(tasks, "n0", &[cache.address], office.conf("n0", &format!("exchange-listen {at}")));
         let mut told = feed(&coordinator).await;
@@ -409,7 +418,7 @@
 // ---- Peers that break the protocol.
 
 /// A connection to n0 as this router, with its first frame sent.
-async fn child(office: &Office, name: &str, at: SocketAddr) -> Connected {
+async fn child(office: &KeyFolder, name: &str, at: SocketAddr) -> Connected {
     let me = Source { instance: InstanceId::of(name), incarnation: 1 };
     let tls = Rc::new(RefCell::new(Tls::read(&office.files(name)).unwrap()));
     Connector { me, tls }.connect("n0", at, &Message::Subscribe { me }).await.unwrap()
@@ -445,14 +454,15 @@
 /// connection ends, with one line in the log; the others go on.
 #[test]
 fn a_child_that_breaks_the_protocol_is_cut_off_and_no_other_is() {
-    let (lines, _guard) = Lines::capture();
+    let (lines, _guard) = CapturedLog::capture();
     run(async |tasks| {
-        let (office, events) = (Office::new(), Rc::new(Events::default()));
-        let above = source(tasks, &office, LONG, &events);
-        let (_good, _silent) = named(tasks, "n1", &[], router(&office, "n1", LONG, &[("n0", above)]));
+        let (office, events) = (KeyFolder::new(), Rc::new(Coordinator::default()));
+        let above = source(tasks, &office, LONG_LEASE, &events);
+        let (_good, _silent) =
+            named(tasks, "n1", &[], router_conf(&office, "n1", LONG_LEASE, &[("n0", above)]));
         let path = records_path(&office, "n1");
         events.purge(1);
-        until_applied(&path, 2).await;
+        wait_for_applied(&path, 2).await;
         let update = Frame::Update(Update::default());
         let wrongs: [(&str, Vec<Frame>); 5] = [
             ("a watermark beyond the log", vec![subscribe("n2", 1), report(1, 99)]),
@@ -476,7 +486,7 @@
             assert!(closed(&mut stream).await);
         }
         events.purge(2);
-        until_applied(&path, 3).await;
+        wait_for_applied(&path, 3).await;
         let said = lines.with("a child's connection ends");
         assert!(!said.is_empty() && said.len() < 7, "{said:?}");
         assert!(said.iter().all(|line| line.contains("n2")), "{said:?}");
@@ -484,7 +494,7 @@
 }
 
 /// A parent by script, with n0's keys: what it says on each connection, one after the other; then it stays open.
-fn parent(tasks: &Tasks, office: &Office, says: Vec<Vec<u8>>) -> SocketAddr {
+fn parent(tasks: &Tasks, office: &KeyFolder, says: Vec<Vec<u8>>) -> SocketAddr {
     let (listener, at) = listen();
     let acceptor = TlsAcceptor::from(Tls::read(&office.files("n0")).unwrap().server.clone());
     let serve = async move {
@@ -508,7 +518,7 @@
 }
 
 fn update(after: u64, numbers: &[u64]) -> Vec<u8> {
-    let entry = |number: &u64| Entry::Purge { what: Purged::Object(*number), at_ms: 1 };
+    let entry = |number: &u64| Entry::Purge { what: PurgeTarget::Object(*number), at_ms: 1 };
     let records = numbers.iter().map(|number| Record { number: *number, entry: entry(number) }).collect();
     let batch = Batch { after, records }.encode().into();
     spelt(&Frame::Update(Update { batch, confirm: None }))
@@ -518,15 +528,16 @@
 /// ends, with one line in the log, and what it then says well is applied from where the router was.
 #[test]
 fn a_parent_that_breaks_the_protocol_is_left_and_nothing_is_lost() {
-    let (lines, _guard) = Lines::capture();
+    let (lines, _guard) = CapturedLog::capture();
     run(async |tasks| {
-        let office = Office::new();
+        let office = KeyFolder::new();
         let ask = spelt(&Frame::Ask { number: 0 });
         let says =
             vec![update(5, &[6]), endless(), garbled(), ask, [update(1, &[2, 3]), update(3, &[4])].concat()];
         let at = parent(tasks, &office, says);
-        let (_router, _silent) = named(tasks, "n1", &[], router(&office, "n1", LONG, &[("n0", at)]));
-        until_applied(&records_path(&office, "n1"), 4).await;
+        let (_router, _silent) =
+            named(tasks, "n1", &[], router_conf(&office, "n1", LONG_LEASE, &[("n0", at)]));
+        wait_for_applied(&records_path(&office, "n1"), 4).await;
         let said = lines.with("a parent");
         assert!(!said.is_empty() && said.len() < 4, "{said:?}");
     });
