--- a/silverspindle/tests/distribution_staff.rs
+++ b/silverspindle/tests/distribution_staff.rs
@@ -12,7 +12,7 @@
 use silverspindle_relay::{Lagging, Status as Word, Summary};
 
 /// `fleet purge status 2` with this file of staff's: exit code and what it says.
-async fn program(office: &Office, sources: &str) -> (i32, serde_json::Value) {
+async fn program(office: &KeyFolder, sources: &str) -> (i32, serde_json::Value) {
     let files = office.files("n3");
     let text = format!(
         "exchange-authority '{}'\nexchange-certificate '{}'\nexchange-key '{}'\n{sources}\n",
@@ -38,11 +38,12 @@
 #[test]
 fn staff_hear_when_a_number_is_done_everywhere_and_who_is_not_heard() {
     run(async |tasks| {
-        let (office, events) = (Office::new(), Rc::new(Events::default()));
-        let above = source(tasks, &office, SHORT, &events);
-        let (_below, _silent) = named(tasks, "n1", &[], router(&office, "n1", SHORT, &[("n0", above)]));
+        let (office, events) = (KeyFolder::new(), Rc::new(Coordinator::default()));
+        let above = source(tasks, &office, SHORT_LEASE, &events);
+        let (_below, _silent) =
+            named(tasks, "n1", &[], router_conf(&office, "n1", SHORT_LEASE, &[("n0", above)]));
         events.purge(1);
-        until_applied(&records_path(&office, "n1"), 2).await;
+        wait_for_applied(&records_path(&office, "n1"), 2).await;
         let staff = Staff::new(&office.conf("n3", &format!("relay-source n0 {above}"))).unwrap();
         let said = Cell::new(0);
         staff.wait(0, |progress| said.set(said.get() + u32::from(progress.everywhere != Some(true)))).await;
@@ -53,7 +54,7 @@
         assert_eq!(staff.progress(3).await.everywhere, Some(false), "not told yet");
         let (code, said) = program(&office, &format!("relay-source n0 {above}")).await;
         assert_eq!((code, &said["everywhere"], &said["number"]), (0, &true.into(), &2.into()), "{said}");
-        let two = format!("relay-source n0 {above}\nrelay-source n2 {}", free());
+        let two = format!("relay-source n0 {above}\nrelay-source n2 {}", free_address());
         let progress = Staff::new(&office.conf("n3", &two)).unwrap().progress(2).await;
         assert_eq!((progress.everywhere, progress.silent[0].0.as_str()), (None, "n2"));
         let (code, said) = program(&office, &two).await;
--- a/silverspindle/tests/drain_terms.rs
+++ b/silverspindle/tests/drain_terms.rs
@@ -9,7 +9,7 @@
 
 use async_io::{Async, Timer};
 use common::process::{Router, put, start};
-use common::sender::{Cached, Habit, MS, Sender, USUAL, serve_from};
+use common::sender::{CacheBehaviour, DEFAULT_BEHAVIOUR, MS, Sender, SenderBehaviour, serve_from};
 use common::*;
 
 /// Time after the request for a drain at which connections are checked.
@@ -18,10 +18,10 @@
 const WARM_UP: i32 = 4;
 
 /// Drains a router while a client sends through it, and checks that its connection is closed in time.
-fn drains_in_time(habit: Habit, cached: Cached) {
+fn drains_in_time(client_behaviour: SenderBehaviour, cache_behaviour: CacheBehaviour) {
     run(async |tasks| {
         let (_coordinator, nowhere) = listen();
-        let cache = serve_from(tasks, cached);
+        let cache = serve_from(tasks, cache_behaviour);
         let file = configuration(&[entry(1, "box", cache), entry(99, "origin", nowhere)], nowhere);
         let mut router: Router = start(&file, &format!("{}:0", ip()));
         // Reads the log all the time, so that the pipe does not fill up and block the router.
@@ -29,7 +29,7 @@
         let log = std::thread::spawn(move || lines.collect::<Vec<String>>());
         let stream = Rc::new(Async::<std::net::TcpStream>::connect(router.clients).await.unwrap());
         let client = Rc::new(Sender::default());
-        let traffic = tasks.spawn(client.clone().run(stream, habit));
+        let traffic = tasks.spawn(client.clone().run(stream, client_behaviour));
         while client.last.get() < WARM_UP {
             Timer::after(MS).await;
         }
@@ -54,34 +54,37 @@
 /// answer is owed on it.
 #[test]
 fn a_connection_with_overlapping_requests_closes_in_time() {
-    drains_in_time(USUAL, Cached::After(700 * MS, 1000));
+    drains_in_time(DEFAULT_BEHAVIOUR, CacheBehaviour::After(700 * MS, 1000));
 }
 
 /// Guards against a connection held because its requests wait for a cache that hangs, up to their deadlines, while the
 /// client sends further requests behind them.
 #[test]
 fn a_connection_whose_requests_wait_for_a_hung_cache_closes_in_time() {
-    drains_in_time(USUAL, Cached::Never);
+    drains_in_time(DEFAULT_BEHAVIOUR, CacheBehaviour::Never);
 }
 
 /// Guards against a connection held because its client reads 1 MB/s and requests nearly as much, so that unread answers
 /// are always waiting.
 #[test]
 fn a_slow_readers_connection_closes_in_time_after_all_its_answers() {
-    drains_in_time(Habit { reads: 1000, ..USUAL }, Cached::After(20 * MS, 200_000));
+    drains_in_time(
+        SenderBehaviour { reads: 1000, ..DEFAULT_BEHAVIOUR },
+        CacheBehaviour::After(20 * MS, 200_000),
+    );
 }
 
 /// Guards against a connection held because it always has a partially received message.
 #[test]
 fn a_connection_with_partial_messages_closes_in_time() {
-    let habit = Habit { every: 150 * MS, halves: true, ..USUAL };
-    drains_in_time(habit, Cached::After(20 * MS, 1000));
+    let client_behaviour = SenderBehaviour { every: 150 * MS, halves: true, ..DEFAULT_BEHAVIOUR };
+    drains_in_time(client_behaviour, CacheBehaviour::After(20 * MS, 1000));
 }
 
 /// Guards against requests that are lost at the close because the client, which reads 1 MB/s and requests more in
 /// smaller answers, sent them while still reading earlier answers.
 #[test]
 fn a_connection_that_requests_more_than_it_reads_closes_after_all_its_answers() {
-    let habit = Habit { every: 20 * MS, reads: 1000, ..USUAL };
-    drains_in_time(habit, Cached::After(5 * MS, 60_000));
+    let client_behaviour = SenderBehaviour { every: 20 * MS, reads: 1000, ..DEFAULT_BEHAVIOUR };
+    drains_in_time(client_behaviour, CacheBehaviour::After(5 * MS, 60_000));
 }
--- a/silverspindle/tests/exchange.rs
+++ b/silverspindle/tests/exchange.rs
@@ -74,7 +74,7 @@
 #[test]
 fn a_drain_that_only_the_donor_knows_is_heeded() {
     run(async |tasks| {
-        let (office, at) = (Office::new(), free());
+        let (office, at) = (KeyFolder::new(), free_address());
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let both = [one.address, two.address];
         let (_donor, coordinator) =
@@ -96,7 +96,7 @@
 #[test]
 fn no_word_of_another_lifts_a_drain_of_ones_own() {
     run(async |tasks| {
-        let (office, at) = (Office::new(), free());
+        let (office, at) = (KeyFolder::new(), free_address());
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let both = [one.address, two.address];
         let (donor, donors_coordinator) =
@@ -123,7 +123,7 @@
 #[test]
 fn a_purge_that_only_the_donor_knows_is_kept() {
     run(async |tasks| {
-        let (office, at) = (Office::new(), free());
+        let (office, at) = (KeyFolder::new(), free_address());
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let both = [one.address, two.address];
         let (_donor, coordinator) =
@@ -222,7 +222,7 @@
     ];
     for (what, bytes, open) in cases {
         run(async |tasks| {
-            let office = Office::new();
+            let office = KeyFolder::new();
             let (one, two) = (Cache::start(tasks), Cache::start(tasks));
             let (at, told) = scripted(tasks, Tls::read(&office.files(N0)).unwrap(), bytes, open);
             let (newcomer, _silent) =
@@ -241,12 +241,13 @@
 #[test]
 fn a_good_donor_is_heeded_beside_faulty_ones() {
     run(async |tasks| {
-        let office = Office::new();
+        let office = KeyFolder::new();
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let (at, _) = scripted(tasks, Tls::read(&office.files(N0)).unwrap(), drains(n0(), 1).to_vec(), false);
         let (faulty, _) =
             scripted(tasks, Tls::read(&office.files("n2")).unwrap(), vec![b"garbage".to_vec()], true);
-        let donors = format!("donors-at-once 1\ndonor n2 {faulty}\ndonor n0 {at}\ndonor n3 {}", free());
+        let donors =
+            format!("donors-at-once 1\ndonor n2 {faulty}\ndonor n0 {at}\ndonor n3 {}", free_address());
         let (newcomer, _silent) = named(tasks, "n1", &[one.address, two.address], office.conf("n1", &donors));
         let client = Client::connect(tasks, newcomer.address).await;
         let mut seq = 0;
@@ -259,10 +260,10 @@
 /// takes anything.
 #[test]
 fn without_a_good_certificate_nothing_is_given_or_taken() {
-    let (office, other) = (Office::new(), Office::new());
+    let (office, other) = (KeyFolder::new(), KeyFolder::new());
     let expired = {
         // The name must be right for the date to be the fault.
-        let folder = Office::new();
+        let folder = KeyFolder::new();
         for (from, to) in [("authority.pem", "authority.pem"), ("authority.key", "authority.key")] {
             std::fs::copy(office.0.join(from), folder.0.join(to)).unwrap();
         }
@@ -304,7 +305,7 @@
     }
     // And a donor gives nothing to them, nor to one that shows none or speaks no TLS.
     run(async |tasks| {
-        let at = free();
+        let at = free_address();
         let conf = office.conf("n0", &format!("exchange-listen {at}"));
         let (donor, _coordinator) = named(tasks, "n0", &[], conf);
         let hello = protocol::encode(&Message::Hello { me: n0() }, VERSION);
@@ -335,7 +336,7 @@
         let _ = plain.read_to_end(&mut got).await;
         assert!(got.windows(4).all(|w| w != b"SSPK"));
         let client = Client::connect(tasks, donor.address).await;
-        assert!(client.well(1).await, "nobody else is touched");
+        assert!(client.is_well(1).await, "nobody else is touched");
     });
 }
 
@@ -360,7 +361,7 @@
 #[test]
 fn a_busy_donor_says_when_to_come_back() {
     run(async |tasks| {
-        let (office, at) = (Office::new(), free());
+        let (office, at) = (KeyFolder::new(), free_address());
         let conf = office.conf("n0", &format!("exchange-listen {at}\ngive-newcomers 1\ngive-rate 1kB"));
         let (_donor, coordinator) = named(tasks, "n0", &[], conf);
         let mut told = feed(&coordinator).await;
@@ -429,7 +430,7 @@
 /// fall on the boxes.
 fn between(n0: Vec<Vec<u8>>, n2: Vec<Vec<u8>>) -> [usize; 2] {
     run(async |tasks| {
-        let office = Office::new();
+        let office = KeyFolder::new();
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let (first, told) = scripted(tasks, Tls::read(&office.files("n0")).unwrap(), n0, false);
         let (second, said) = scripted(tasks, Tls::read(&office.files("n2")).unwrap(), n2, false);
@@ -488,7 +489,7 @@
 #[test]
 fn a_donor_that_drips_is_cut_off() {
     run(async |tasks| {
-        let office = Office::new();
+        let office = KeyFolder::new();
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let drip = drains(Source { instance: InstanceId::of("n2"), incarnation: 1 }, 1).concat();
         let acceptor = TlsAcceptor::from(Tls::read(&office.files("n2")).unwrap().server);
@@ -526,10 +527,10 @@
 #[test]
 fn round_a_ring_a_word_stays_with_the_process_that_it_was_about() {
     run(async |tasks| {
-        let office = Office::new();
+        let office = KeyFolder::new();
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let both = [one.address, two.address];
-        let at: Vec<SocketAddr> = (0..4).map(|_| free()).collect();
+        let at: Vec<SocketAddr> = (0..4).map(|_| free_address()).collect();
         let ring = |n: usize| {
             let before = (n + 3) % 4;
             office
@@ -565,7 +566,7 @@
 #[test]
 fn a_snapshot_is_one_more_donor() {
     run(async |tasks| {
-        let office = Office::new();
+        let office = KeyFolder::new();
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let both = [one.address, two.address];
         let text = format!("snapshot-directory '{}'\nsnapshot-every 100ms", office.0.display());
@@ -595,7 +596,7 @@
         }
         let good = std::fs::read(&file).unwrap();
         let start = async |bytes: &[u8]| {
-            let folder = Office::new();
+            let folder = KeyFolder::new();
             std::fs::write(snapshots::path(&folder.0, InstanceId::of("n0")), bytes).unwrap();
             let text = format!("snapshot-directory '{}'\nsnapshot-every 1h", folder.0.display());
             let conf = silverspindle_conf::read(&text).unwrap();
@@ -635,7 +636,7 @@
 /// Guards against a torn snapshot after a kill at any point: the old one or the new one is there, whole.
 #[test]
 fn a_writer_killed_at_any_point_leaves_the_old_or_the_new() {
-    let office = Office::new();
+    let office = KeyFolder::new();
     let path = snapshots::path(&office.0, InstanceId::of("n0"));
     snapshots::write(&path, &numbered(0)).unwrap();
     let (mut last, mut beside) = (0, 0);
--- a/silverspindle/tests/failing_calls.rs
+++ b/silverspindle/tests/failing_calls.rs
@@ -9,11 +9,11 @@
 
 use async_io::{Async, Timer};
 use common::process::{Router, start_with};
-use common::sender::{Cached, MS, serve_from};
+use common::sender::{CacheBehaviour, MS, serve_from};
 use common::*;
 use rustix::io::Errno;
 use rustix::process::{Pid, Resource, Rlimit, getrlimit, prlimit};
-use silverspindle::drain::LINGER;
+use silverspindle::drain::ARRIVAL_WINDOW;
 use silverspindle::knowledge::snapshots;
 use silverspindle_knowledge::InstanceId;
 use silverspindle_standins::process::used;
@@ -30,7 +30,7 @@
 /// A router before a cache that answers at once.
 async fn start(tasks: &Tasks) -> (Router, FailingCalls, (tempfile::TempDir, Async<std::net::TcpListener>)) {
     let (coordinator, nowhere) = listen();
-    let cache = serve_from(tasks, Cached::After(Duration::ZERO, 1000));
+    let cache = serve_from(tasks, CacheBehaviour::After(Duration::ZERO, 1000));
     let file = configuration(&[entry(1, "box", cache), entry(99, "origin", nowhere)], nowhere);
     let directory = tempfile::tempdir().unwrap();
     let calls = FailingCalls::new(directory.path()).unwrap();
@@ -49,7 +49,7 @@
     ];
     run(async |tasks| {
         let (_coordinator, nowhere) = listen();
-        let cache = serve_from(tasks, Cached::After(Duration::ZERO, 1000));
+        let cache = serve_from(tasks, CacheBehaviour::After(Duration::ZERO, 1000));
         let file = configuration(&[entry(1, "box", cache), entry(99, "origin", nowhere)], nowhere);
         let directory = tempfile::tempdir().unwrap();
         let conf = directory.path().join("conf");
@@ -173,10 +173,10 @@
         let pid = router.child.id().to_string();
         assert!(Command::new("kill").arg(pid).status().unwrap().success());
         // The listener is closed once nobody comes any more; by then accepts have failed for a while.
-        Timer::after(Duration::from_micros(LINGER) + A_WHILE).await;
+        Timer::after(Duration::from_micros(ARRIVAL_WINDOW) + A_WHILE).await;
         calls.fail(SystemCall::Accept, None).unwrap();
         let answer = client.next().await.expect("an answer");
-        assert!(advice(&answer, 1).is_some(), "refused: it could not be answered before the kill");
+        assert!(backoff_advice(&answer, 1).is_some(), "refused: it could not be answered before the kill");
         let lines = std::mem::replace(&mut router.lines, Box::new(std::iter::empty()));
         let log: Vec<String> = lines.collect();
         assert!(log.iter().any(|line| line.contains("ended: all is answered")), "{log:?}");
@@ -192,7 +192,7 @@
         let (router, _calls, _kept) = start(tasks).await;
         let client = Client::connect(tasks, router.clients).await;
         // Accepted, before there is no descriptor for that.
-        assert!(client.well(1).await);
+        assert!(client.is_well(1).await);
         let pid = Some(Pid::from_child(&router.child));
         let none = Rlimit { current: Some(3), maximum: getrlimit(Resource::Nofile).maximum };
         let usual = prlimit(pid, Resource::Nofile, none).unwrap();
@@ -202,7 +202,7 @@
             (fields[1].1, fields[2].1, fields[3].1) = (&rid, "900", &object);
             client.send(&serve(seq, &fields, b"")).await;
             let answer = client.next().await.expect("an answer");
-            assert!(advice(&answer, seq).is_some(), "refused: it never ran");
+            assert!(backoff_advice(&answer, seq).is_some(), "refused: it never ran");
         }
         prlimit(pid, Resource::Nofile, usual).unwrap();
         client.send(&serve(FAILING + 1, &page(RID), b"")).await;
--- a/silverspindle/tests/front_times.rs
+++ b/silverspindle/tests/front_times.rs
@@ -3,7 +3,9 @@
 
 use bitternhold::Micros;
 use silverspindle::counters::RefusalReason;
-use silverspindle::drain::{BEFORE_KILL, Drain, GIVE_UP, GRACE, Hold, LINGER, Seen};
+use silverspindle::drain::{
+    ARRIVAL_WINDOW, ConnectionState, Drain, FORCED_ANSWER_AFTER, GRACE, HoldReason, KILL_MARGIN,
+};
 use silverspindle::front::queue::AcceptQueue;
 use silverspindle::front::reading::{CROSSES, FULL_BUFFERS, MARGIN, MOST_UNREAD, PER_BYTE, Reading, WAITED};
 
@@ -49,10 +51,18 @@
 }
 
 /// A connection that owes nothing, of a client that can't have read all before then.
-fn behind(until: Micros) -> Seen {
+fn behind(until: Micros) -> ConnectionState {
     let (open, unwritten, last_request) = (0, 0, Some(10 * S));
-    let (reads_until, reads_slowly) = (Some(until), true);
-    Seen { open, unwritten, last_request, reads_until, reads_slowly, asked: true, used: 10 * S }
+    let (unread_until, slow_reader) = (Some(until), true);
+    ConnectionState {
+        open,
+        unwritten,
+        last_request,
+        unread_until,
+        slow_reader,
+        had_request: true,
+        last_active: 10 * S,
+    }
 }
 
 #[test]
@@ -61,21 +71,21 @@
     drain.started();
     drain.drain(10 * S);
     let by = 10 * S + 2 * S;
-    assert_eq!(drain.hold(10 * S + GRACE, behind(by)), Some(Hold::UnreadAnswers));
-    let refused = drain.refuses(10 * S + GRACE, 20 * S, behind(by));
+    assert_eq!(drain.hold_reason(10 * S + GRACE, behind(by)), Some(HoldReason::UnreadAnswers));
+    let refused = drain.refusal(10 * S + GRACE, 20 * S, behind(by));
     assert_eq!(refused, Some(RefusalReason::Draining));
-    let fast = Seen { reads_slowly: false, ..behind(by) };
-    assert_eq!(drain.refuses(10 * S + GRACE, 20 * S, fast), None, "held, and served meanwhile");
-    assert!(drain.close(by, behind(by)));
-    assert!(drain.close(10 * S + GIVE_UP, behind(60 * S)), "the terms go before");
+    let fast = ConnectionState { slow_reader: false, ..behind(by) };
+    assert_eq!(drain.refusal(10 * S + GRACE, 20 * S, fast), None, "held, and served meanwhile");
+    assert!(drain.may_close(by, behind(by)));
+    assert!(drain.may_close(10 * S + FORCED_ANSWER_AFTER, behind(60 * S)), "the terms go before");
 }
 
 #[test]
 fn an_end_waits_for_no_slow_client_into_the_kill() {
-    let mut drain = Drain::new().with_longest(2 * S);
+    let mut drain = Drain::new().with_longest_deadline(2 * S);
     drain.started();
     drain.end(10 * S);
-    let kill = 10 * S + 2 * S + LINGER;
-    assert!(!drain.close(kill - BEFORE_KILL - 1, behind(60 * S)));
-    assert!(drain.close(kill - BEFORE_KILL, behind(60 * S)));
+    let kill = 10 * S + 2 * S + ARRIVAL_WINDOW;
+    assert!(!drain.may_close(kill - KILL_MARGIN - 1, behind(60 * S)));
+    assert!(drain.may_close(kill - KILL_MARGIN, behind(60 * S)));
 }
--- a/silverspindle/tests/management.rs
+++ b/silverspindle/tests/management.rs
@@ -7,7 +7,7 @@
 use std::net::TcpStream;
 use std::process::Command;
 
-use common::process::{AT_MOST, call, end, put, ready, start, start_in};
+use common::process::{TIMEOUT, call, end, put, ready, start, start_in};
 
 /// Guards against a drain that never lets clients go, a resume that does not bring them back, and callers
 /// who never finish holding up the others.
@@ -30,7 +30,7 @@
     assert_eq!(call(r.management, "DELETE /-/drain HTTP/1.1\r\n\r\n"), 405);
     assert_eq!(call(r.management, "\x01\x02 junk\r\n\r\n"), 400);
     let mut client = TcpStream::connect(r.clients).unwrap();
-    client.set_read_timeout(Some(AT_MOST)).unwrap();
+    client.set_read_timeout(Some(TIMEOUT)).unwrap();
     assert_eq!(put(&r, "/-/drain"), 200);
     assert_eq!(ready(&r), 503);
     // The idle client is let go: the router closes, it does not reset.
@@ -39,7 +39,7 @@
     assert_eq!(ready(&r), 200);
     let mut again = TcpStream::connect(r.clients).unwrap();
     again.write_all(&common::call(1, "isWell", 1, &[0])).unwrap();
-    again.set_read_timeout(Some(AT_MOST)).unwrap();
+    again.set_read_timeout(Some(TIMEOUT)).unwrap();
     assert!(again.read(&mut [0u8; 64]).unwrap() > 0, "a resumed router answers");
     drop(stalled);
     end(r);
--- a/silverspindle/tests/refusals.rs
+++ b/silverspindle/tests/refusals.rs
@@ -148,7 +148,8 @@
             AttemptEnd::Error => reply(&line, &[&want[1], "FAULT", "-", ""]).await,
             AttemptEnd::Reset => line.get_ref().shutdown(std::net::Shutdown::Both).unwrap(),
             AttemptEnd::HalfAnAnswer => {
-                let whole = silverspindle::resp::command(&[want[1].as_bytes(), b"HIT", NAMED.as_bytes()]);
+                let whole =
+                    silverspindle::resp::encode_array(&[want[1].as_bytes(), b"HIT", NAMED.as_bytes()]);
                 (&*line).write_all(&whole[..whole.len() / 2]).await.unwrap();
                 line.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
             }
@@ -185,7 +186,7 @@
 const ENDS: [AttemptEnd; 3] = [AttemptEnd::Error, AttemptEnd::Reset, AttemptEnd::HalfAnAnswer];
 
 fn is_refused(sequence: i32, answer: &[u8]) -> bool {
-    answer == thrift::throttled(sequence, None) || advice(answer, sequence).is_some()
+    answer == thrift::encode_throttled(sequence, None) || backoff_advice(answer, sequence).is_some()
 }
 
 /// A copy that was good when the request came stays good for it, whatever comes in meanwhile: its age counts to then.
@@ -196,7 +197,7 @@
     for (effect, group, loss, end) in displaced.into_iter().chain(aged) {
         let (sequence, answer) = answer_after(delicate_class(effect, group), loss, end);
         assert!(!is_refused(sequence, &answer), "{loss:?}, {end:?}: refused, and it may have run");
-        assert_eq!(answer, served(sequence, body().as_bytes()), "{loss:?}, {end:?}");
+        assert_eq!(answer, served_answer(sequence, body().as_bytes()), "{loss:?}, {end:?}");
     }
 }
 
@@ -206,6 +207,6 @@
     for end in ENDS {
         let (sequence, answer) = answer_after(delicate_class("at_most_once", "all"), Loss::PurgedLately, end);
         assert!(!is_refused(sequence, &answer), "{end:?}: refused, and it may have run");
-        assert_eq!(answer, thrift::broken(sequence), "{end:?}");
+        assert_eq!(answer, thrift::encode_broken(sequence), "{end:?}");
     }
 }
--- a/silverspindle/tests/restarts.rs
+++ b/silverspindle/tests/restarts.rs
@@ -38,7 +38,7 @@
         return false;
     };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(2)));
-    let good = silverspindle::thrift::answer("isWell", 1, 0, &[], true).concat();
+    let good = silverspindle::thrift::encode_answer("isWell", 1, 0, &[], true).concat();
     let mut answer = vec![0; good.len()];
     stream.write_all(&common::call(1, "isWell", 1, &[2, 0, 1, 0, 0])).is_ok()
         && stream.read_exact(&mut answer).is_ok()
--- a/silverspindle/tests/router.rs
+++ b/silverspindle/tests/router.rs
@@ -17,7 +17,7 @@
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
         let client = Client::connect(tasks, router.address).await;
-        assert!(client.well(1).await);
+        assert!(client.is_well(1).await);
         let mut fields = page(RID);
         fields.push(("cached", "4be0c1927d55a6f3"));
         client.send(&serve(2, &fields, b"")).await;
@@ -37,14 +37,14 @@
         assert!((1..=20_000).contains(&field(&want, "ttl").unwrap().parse::<u64>().unwrap()));
         let body = "x".repeat(240_000);
         reply(&line, &[RID, "HIT", NAMED, &body]).await;
-        assert_eq!(client.next().await.unwrap(), served(2, body.as_bytes()));
+        assert_eq!(client.next().await.unwrap(), served_answer(2, body.as_bytes()));
 
         // The client's copy is the one: an empty body, and `keep`.
         (fields[1].1, fields[4].1) = (OTHER, "4");
         client.send(&serve(3, &fields, b"")).await;
         let (_, line) = cache.next().await;
         reply(&line, &[OTHER, "VALID", NAMED, ""]).await;
-        let holds = thrift::answer("serve", 3, 0, &[("keep", "1")], true).concat();
+        let holds = thrift::encode_answer("serve", 3, 0, &[("keep", "1")], true).concat();
         assert_eq!(client.next().await.unwrap(), holds);
     });
 }
@@ -63,7 +63,7 @@
         assert_eq!((want[3].as_str(), field(&want, "retain")), ("scanned", None));
         assert_eq!(field(&want, "dedupe"), Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
         reply(&line, &[RID, "HIT", "why=deep_fill", "done"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"done"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"done"));
     });
 }
 
@@ -80,9 +80,9 @@
         let [(first, line), (second, other)] = read;
         assert_eq!((first[1].as_str(), second[1].as_str()), (RID, OTHER));
         reply(&other, &[OTHER, "HIT", NAMED, "b"]).await;
-        assert_eq!(client.next().await.unwrap(), served(2, b"b"));
+        assert_eq!(client.next().await.unwrap(), served_answer(2, b"b"));
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -113,14 +113,14 @@
             let mut fields: Vec<_> = page(RID).into_iter().filter(|(n, _)| *n != name).collect();
             fields.push((name, value));
             client.send(&serve(seq, &fields, b"")).await;
-            assert_eq!(client.next().await.unwrap(), thrift::broken(seq), "{name}");
+            assert_eq!(client.next().await.unwrap(), thrift::encode_broken(seq), "{name}");
         }
         let mut keyless = page(RID);
         keyless[0].1 = "scan";
         client.send(&serve(20, &keyless, b"")).await;
-        assert_eq!(client.next().await.unwrap(), thrift::broken(20));
+        assert_eq!(client.next().await.unwrap(), thrift::encode_broken(20));
         client.send(&serve(21, &page(RID), b"a body where nothing is written")).await;
-        assert_eq!(client.next().await.unwrap(), thrift::broken(21));
+        assert_eq!(client.next().await.unwrap(), thrift::encode_broken(21));
         assert!(cache.nothing_came());
     });
 }
@@ -140,9 +140,9 @@
             assert_eq!(bad.next().await, None);
         }
         good.send(&call(1, "dance", 2, &[0])).await;
-        assert_eq!(good.next().await.unwrap(), thrift::unknown_method("dance", 2));
+        assert_eq!(good.next().await.unwrap(), thrift::encode_unknown_method("dance", 2));
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(good.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(good.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -157,14 +157,14 @@
         let (_, line) = cache.next().await;
         client.send(&forget(1)).await;
         // Answered behind it, so that the director has read it before the cache answers.
-        assert!(client.well(2).await);
+        assert!(client.is_well(2).await);
         assert_eq!(cache.next().await.0, ["never_mind", RID]);
         reply(&line, &[RID, "HIT", NAMED, "late"]).await;
         client.send(&serve(3, &page(OTHER), b"")).await;
         let (want, line) = cache.next().await;
         assert_eq!(want[1], OTHER);
         reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
-        assert_eq!(client.next().await.unwrap(), served(3, b"b"));
+        assert_eq!(client.next().await.unwrap(), served_answer(3, b"b"));
     });
 }
 
@@ -177,7 +177,7 @@
         let client = Client::connect(tasks, router.address).await;
         client.send(&serve(1, &page(RID), b"")).await;
         cache.next().await;
-        client.hang_up();
+        client.shutdown_write();
         assert_eq!(client.next().await, None);
         assert_eq!(cache.next().await.0, ["never_mind", RID]);
         let other = Client::connect(tasks, router.address).await;
@@ -185,7 +185,7 @@
         let (want, line) = cache.next().await;
         assert_eq!(want[1], OTHER);
         reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
-        assert_eq!(other.next().await.unwrap(), served(1, b"b"));
+        assert_eq!(other.next().await.unwrap(), served_answer(1, b"b"));
     });
 }
 
@@ -221,7 +221,7 @@
             let (again, line) = next().await;
             assert_eq!(again[1], RID);
             reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-            assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+            assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         });
     }
 }
@@ -244,7 +244,7 @@
             client.send(&serve(seq, &fields, b"")).await;
             let (_, line) = cache.next().await;
             reply(&line, &[&object, "HIT", NAMED, "a"]).await;
-            assert_eq!(client.next().await.unwrap(), served(seq, b"a"));
+            assert_eq!(client.next().await.unwrap(), served_answer(seq, b"a"));
         }
     });
 }
@@ -262,7 +262,7 @@
         client.send(&serve(1, &fields, b"")).await;
         let (want, _line) = cache.next().await;
         assert_eq!(want[0], "want");
-        assert!(advice(&client.next().await.unwrap(), 1).is_some_and(|ms| ms > 0));
+        assert!(backoff_advice(&client.next().await.unwrap(), 1).is_some_and(|ms| ms > 0));
         // A second copy may have come in between.
         while cache.next().await.0 != ["never_mind", RID] {}
     });
@@ -298,11 +298,11 @@
             let mut fields: Vec<(&str, &str)> = page(RID);
             fields[1].1 = &rid;
             client.send(&serve(seq, &fields, b"")).await;
-            let answer = async { client.next().await.map(|a| advice(&a, seq).is_some()) };
+            let answer = async { client.next().await.map(|a| backoff_advice(&a, seq).is_some()) };
             let served = async {
                 let (_, line) = two.next().await;
                 reply(&line, &[&rid, "HIT", NAMED, "a"]).await;
-                client.next().await.map(|a| advice(&a, seq).is_some())
+                client.next().await.map(|a| backoff_advice(&a, seq).is_some())
             };
             if futures_lite::future::or(answer, served).await.unwrap() {
                 break;
@@ -334,14 +334,14 @@
         let (_, first) = cache.next().await;
         let talk = async {
             let late = Client::connect(tasks, router.address).await;
-            while late.well(1).await {}
+            while late.is_well(1).await {}
             late.send(&serve(2, &page(OTHER), b"")).await;
             let (want, line) = cache.next().await;
             assert_eq!(want[1], OTHER);
             reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
-            assert_eq!(late.next().await.unwrap(), served(2, b"b"));
+            assert_eq!(late.next().await.unwrap(), served_answer(2, b"b"));
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
-            assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+            assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         };
         both(router.end(), talk).await;
     });
@@ -353,19 +353,19 @@
 fn unused_connections_make_room_for_waiting_clients() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
-        let (router, _coordinator) = small_router(tasks, &[cache.address], 64);
+        let (router, _coordinator) = router_with_sockets(tasks, &[cache.address], 64);
         let busy = Client::connect(tasks, router.address).await;
         busy.send(&serve(1, &page(RID), b"")).await;
         let (_, line) = cache.next().await;
         let mut held = Vec::new();
         for _ in 0..3 * most_clients(64) {
             let client = Client::connect(tasks, router.address).await;
-            assert!(client.well(1).await);
+            assert!(client.is_well(1).await);
             held.push(client);
         }
         assert_eq!(held[0].next().await, None, "the longest unused is closed");
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(busy.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(busy.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -378,7 +378,7 @@
         let half = Client::connect(tasks, router.address).await;
         half.send(&serve(1, &page(RID), b"")[..40]).await;
         let later = Client::connect(tasks, router.address).await;
-        assert!(later.well(1).await);
+        assert!(later.is_well(1).await);
         later.send(&[0, 0]).await;
         for client in [silent, half, later] {
             assert_eq!(client.next().await, None);
@@ -400,12 +400,12 @@
         let mut other = page(RID);
         other[3].1 = "00000000000000b1";
         bad.send(&serve(7, &other, b"")).await;
-        assert_eq!(bad.next().await.unwrap(), thrift::broken(7));
+        assert_eq!(bad.next().await.unwrap(), thrift::encode_broken(7));
         bad.send(&serve(7, &page(OTHER), b"")).await;
         assert_eq!(bad.next().await, None);
         assert!(cache.nothing_came());
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(good.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(good.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -419,13 +419,13 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, line) = cache.next().await;
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         client.send(&serve(2, &page(OTHER), b"")).await;
-        assert_eq!(client.next().await.unwrap(), served(2, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(2, b"a"));
         let mut holder = page("00000000000000a3");
         holder.push(("cached", "4be0c1927d55a6f3"));
         client.send(&serve(3, &holder, b"")).await;
-        let holds = thrift::answer("serve", 3, 0, &[("keep", "1")], true).concat();
+        let holds = thrift::encode_answer("serve", 3, 0, &[("keep", "1")], true).concat();
         assert_eq!(client.next().await.unwrap(), holds);
         assert!(cache.nothing_came());
 
@@ -441,7 +441,7 @@
             let own = async { client.next().await.and(None) };
             if let Some((_, line)) = futures_lite::future::or(asked, own).await {
                 reply(&line, &[&rid, "HIT", "version=bb,stamp=1764576000124", "b"]).await;
-                assert_eq!(client.next().await.unwrap(), served(seq, b"b"));
+                assert_eq!(client.next().await.unwrap(), served_answer(seq, b"b"));
                 break;
             }
         }
@@ -461,10 +461,13 @@
         let (_, first) = cache.next().await;
         let talk = async {
             // The linger is waited for: what comes within it is taken whatever its deadline.
-            silverspindle::clock::at(silverspindle::clock::now() + silverspindle::drain::LINGER).await;
+            silverspindle::clock::timer_at(
+                silverspindle::clock::now() + silverspindle::drain::ARRIVAL_WINDOW,
+            )
+            .await;
             client.send(&serve(2, &page(OTHER), b"")).await;
             let answer = client.next().await.unwrap();
-            assert!(advice(&answer, 2).is_some(), "a 20 s budget ends after the kill: refused");
+            assert!(backoff_advice(&answer, 2).is_some(), "a 20 s budget ends after the kill: refused");
             let mut short = page(THIRD);
             short.retain(|(name, _)| *name != "budget");
             short.push(("budget", "1000"));
@@ -478,9 +481,9 @@
             };
             assert_eq!(want[1], THIRD, "nothing was sent for the refused one");
             reply(&line, &[THIRD, "HIT", NAMED, "c"]).await;
-            assert_eq!(client.next().await.unwrap(), served(3, b"c"));
+            assert_eq!(client.next().await.unwrap(), served_answer(3, b"c"));
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
-            assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+            assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         };
         both(router.end(), talk).await;
     });
--- a/standins/src/checker/purges.rs
+++ b/standins/src/checker/purges.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use serde_json::Value;
-use silverspindle_wire::feed::Purged;
+use silverspindle_wire::feed::PurgeTarget;
 
 use crate::Micros;
 use crate::clients::{ServedCopy, group};
@@ -187,7 +187,7 @@
     /// Its number.
     pub number: u64,
     /// What it names.
-    pub what: Purged,
+    pub what: PurgeTarget,
     /// When it was told.
     pub at: Micros,
 }
@@ -195,13 +195,13 @@
 /// Whether clients were served from copies that a purge forbids: an item that was due after the stated time had passed
 /// since the purge, from a copy that was given out before it.
 pub fn stale(router: &str, served: &[ServedCopy], purges: &[Purge], stated: Micros) -> Vec<String> {
-    let mut by_name: HashMap<Purged, Vec<&Purge>> = HashMap::new();
+    let mut by_name: HashMap<PurgeTarget, Vec<&Purge>> = HashMap::new();
     for purge in purges {
         by_name.entry(purge.what).or_default().push(purge);
     }
     let mut breaches = Vec::new();
     for copy in served {
-        let names = [Purged::Object(copy.object), Purged::Group(group(copy.object))];
+        let names = [PurgeTarget::Object(copy.object), PurgeTarget::Group(group(copy.object))];
         let named = names.iter().filter_map(|name| by_name.get(name)).flatten();
         let broken = named
             .filter(|p| copy.stamp < p.at && p.at.saturating_add(stated) < copy.due)
--- a/standins/src/clients.rs
+++ b/standins/src/clients.rs
@@ -11,7 +11,7 @@
 use futures_lite::AsyncWriteExt;
 use hdrhistogram::Histogram;
 use silverspindle_wire::clock;
-use silverspindle_wire::framing::Messages;
+use silverspindle_wire::framing::MessageReader;
 
 use crate::codec::{self, Answer};
 use crate::{Micros, office};
@@ -151,7 +151,7 @@
         });
         let (own, line) = (self.clone(), connection.clone());
         let read = async move {
-            let mut answers = Messages::new(&*stream, codec::measure_answer, 16 * 1024);
+            let mut answers = MessageReader::new(&*stream, codec::measure_answer, 16 * 1024);
             while let Ok(Some(frame)) = answers.next().await {
                 own.answered(&line, &frame);
             }
@@ -170,7 +170,7 @@
         if stream.write_all(&codec::is_well(1)).await.is_err() {
             return false;
         }
-        let mut answers = Messages::new(&mut stream, codec::measure_answer, 1024);
+        let mut answers = MessageReader::new(&mut stream, codec::measure_answer, 1024);
         let frame = answers.next().await.ok().flatten();
         frame.is_some_and(|f| matches!(codec::answer(&f), Ok((1, Answer::Served(_, true)))))
     }
--- a/standins/src/codec.rs
+++ b/standins/src/codec.rs
@@ -118,7 +118,7 @@
     let mut c = Cursor(frame);
     c.number(4)?;
     let kind = c.number(4)? as u8;
-    c.counted()?;
+    c.length_prefixed()?;
     let seq = c.number(4)? as u32 as i32;
     if kind != 2 {
         return Ok((seq, Answer::Failed));
@@ -134,12 +134,12 @@
             break;
         }
         match (sort, c.number(2)?) {
-            (11, _) => body = c.counted()?.to_vec(),
+            (11, _) => body = c.length_prefixed()?.to_vec(),
             (2, _) => good = c.number(1)? == 1,
             (13, _) => {
                 c.number(2)?;
                 for _ in 0..c.number(4)? {
-                    let (name, value) = (c.counted()?, c.counted()?);
+                    let (name, value) = (c.length_prefixed()?, c.length_prefixed()?);
                     if name == b"backoff" {
                         backoff = std::str::from_utf8(value).ok().and_then(|v| v.parse().ok());
                     }
--- a/standins/src/office.rs
+++ b/standins/src/office.rs
@@ -11,8 +11,8 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::AsyncWriteExt;
-use silverspindle_wire::feed::Purged;
-use silverspindle_wire::framing::Messages;
+use silverspindle_wire::feed::PurgeTarget;
+use silverspindle_wire::framing::MessageReader;
 use silverspindle_wire::{clock, resp};
 
 use crate::clients;
@@ -84,7 +84,7 @@
     async fn work(&self) -> bool {
         match self.book() {
             Some(done) => {
-                clock::at(done).await;
+                clock::timer_at(done).await;
                 true
             }
             None => false,
@@ -102,7 +102,7 @@
     copies: HashMap<Key, (u8, u64, Micros, u64)>,
     order: BTreeMap<(u8, u64), Key>,
     uses: u64,
-    purges: HashMap<Purged, Micros>,
+    purges: HashMap<PurgeTarget, Micros>,
 }
 
 impl Store {
@@ -113,7 +113,7 @@
     /// When the copy was given out, if there is one that no purge concerns and that is young enough.
     fn get(&mut self, key: &Key, group: u64, rank: u8, max_age: Micros) -> Option<Micros> {
         let (old, used, stamp, _) = *self.copies.get(key)?;
-        let names = [Purged::Object(key.0), Purged::Group(group)];
+        let names = [PurgeTarget::Object(key.0), PurgeTarget::Group(group)];
         let purged = names.iter().filter_map(|name| self.purges.get(name)).any(|at| stamp <= *at);
         if purged || clock::now().saturating_sub(stamp) > max_age {
             return None;
@@ -289,7 +289,7 @@
     }
 
     /// Copies of an object or a group that are no younger are of no use any more.
-    pub fn purge(&self, what: Purged, at: Micros) {
+    pub fn purge(&self, what: PurgeTarget, at: Micros) {
         for tier in self.boxes.iter().map(|(b, _)| b).chain(&self.parents) {
             tier.store.borrow_mut().purges.insert(what, at);
         }
@@ -317,7 +317,7 @@
             }
         };
         tasks.spawn(writer).detach();
-        let mut commands = Messages::new(&*stream, codec::measure_command, CHUNK);
+        let mut commands = MessageReader::new(&*stream, codec::measure_command, CHUNK);
         while let Some(frame) = commands.next().await? {
             match own.servers.fault.get() {
                 Some(Fault::Stall) => continue,
@@ -337,12 +337,12 @@
                             None => format!("why={why}"),
                         };
                         let strings = [rid.as_bytes(), word.as_bytes(), named.as_bytes(), &body];
-                        let _ = write.send(resp::command(&strings)).await;
+                        let _ = write.send(resp::encode_array(&strings)).await;
                     };
                     tasks.spawn(answer).detach();
                 }
                 Some(&(b"there" | b"busy")) => {
-                    let pong = resp::command(&[text(1).as_bytes(), b"PONG", b"-", b""]);
+                    let pong = resp::encode_array(&[text(1).as_bytes(), b"PONG", b"-", b""]);
                     let _ = write.send(pong).await;
                 }
                 _ => {}
--- a/standins/src/passing.rs
+++ b/standins/src/passing.rs
@@ -115,9 +115,9 @@
     match command.first() {
         Some(&b"want") => {
             let fields = format!("version=1,stamp={},why=warm", clock::now() / 1000);
-            resp::command(&[id, b"HIT", fields.as_bytes(), body])
+            resp::encode_array(&[id, b"HIT", fields.as_bytes(), body])
         }
-        Some(&(b"there" | b"busy")) => resp::command(&[id, b"PONG", b"-", b""]),
+        Some(&(b"there" | b"busy")) => resp::encode_array(&[id, b"PONG", b"-", b""]),
         _ => Vec::new(),
     }
 }
--- a/standins/src/rig.rs
+++ b/standins/src/rig.rs
@@ -1183,7 +1183,7 @@
     let (mut due, mut looked) = (begin, begin);
     while due < end {
         due += gaps.sample(&mut random) as Micros + 1;
-        clock::at(due).await;
+        clock::timer_at(due).await;
         if clock::now() >= looked + SECOND / 10 {
             looked = clock::now();
             clients.iter().for_each(|c| c.overdue());
--- a/standins/src/rig/hollow.rs
+++ b/standins/src/rig/hollow.rs
@@ -351,7 +351,7 @@
         let end = due + self.options.seconds * SECOND;
         while due < end {
             due += gap;
-            clock::at(due).await;
+            clock::timer_at(due).await;
             self.tell();
         }
         self.alive()
--- a/standins/src/rig/purges.rs
+++ b/standins/src/rig/purges.rs
@@ -21,7 +21,7 @@
 use rustix::process::Signal;
 use serde_json::Value;
 use silverspindle_wire::clock;
-use silverspindle_wire::feed::Purged;
+use silverspindle_wire::feed::PurgeTarget;
 
 use crate::checker::lines;
 use crate::checker::purges::{self as checker, Event, Everywhere, Findings, Purge};
@@ -260,7 +260,7 @@
     }
 
     /// The coordinator tells this; the event's number.
-    fn tell(&self, news: News, what: Option<Purged>) -> u64 {
+    fn tell(&self, news: News, what: Option<PurgeTarget>) -> u64 {
         let number = self.coordinator.tell(news);
         self.events.borrow_mut().push(Event { number, at: steady(), is_purge: what.is_some() });
         if let Some(what) = what {
@@ -269,11 +269,11 @@
         number
     }
 
-    fn tell_purge(&self, what: Purged) -> u64 {
+    fn tell_purge(&self, what: PurgeTarget) -> u64 {
         let ms = clock::now() / MS;
         let news = match what {
-            Purged::Object(object) => News::PurgeObject(object, ms),
-            Purged::Group(group) => News::Purge(group as u16, ms),
+            PurgeTarget::Object(object) => News::PurgeObject(object, ms),
+            PurgeTarget::Group(group) => News::Purge(group as u16, ms),
         };
         self.tell(news, Some(what))
     }
@@ -349,7 +349,7 @@
     let mut due = clock::now();
     while due < end {
         due += gaps.sample(&mut random) as Micros + 1;
-        clock::at(due).await;
+        clock::timer_at(due).await;
         let object = spread(objects.sample(&mut random) as u64);
         let (is_list, is_group) = (random.random_ratio(1, LISTS), random.random_ratio(1, GROUPS));
         let (which, weight) = (random.random_range(0..boxes.len()), random.random_range(10..=16));
@@ -359,8 +359,8 @@
         }
         match (is_list, is_group) {
             (true, _) => rig.tell_list(Member { weight, ..boxes[which] }),
-            (false, true) => rig.tell_purge(Purged::Group(group(object))),
-            (false, false) => rig.tell_purge(Purged::Object(object)),
+            (false, true) => rig.tell_purge(PurgeTarget::Group(group(object))),
+            (false, false) => rig.tell_purge(PurgeTarget::Object(object)),
         };
     }
     Ok(())
@@ -434,7 +434,7 @@
     let (mut due, mut looked) = (begin, begin);
     while due < end {
         due += gaps.sample(&mut random) as Micros + 1;
-        clock::at(due).await;
+        clock::timer_at(due).await;
         if clock::now() >= looked + SECOND / 10 {
             looked = clock::now();
             clients.iter().for_each(|c| c.overdue());
@@ -454,7 +454,7 @@
 /// All faults are over: a new purge comes to be everywhere, each router has applied it, and items end.
 async fn heal(rig: &Rc<Rig>, clients: &[Rc<Clients>]) -> io::Result<()> {
     let began = clock::now();
-    let number = rig.tell_purge(Purged::Object(0));
+    let number = rig.tell_purge(PurgeTarget::Object(0));
     until("a purge everywhere after the healing", async || rig.is_everywhere(number).await.then_some(()))
         .await?;
     rig.out.borrow_mut().recovered = clock::now() - began;
@@ -540,7 +540,7 @@
     for (n, clients) in clients.iter().enumerate() {
         well(clients, &rig.starts[&Node::Router(n)].log).await?;
     }
-    let first = rig.tell_purge(Purged::Object(0));
+    let first = rig.tell_purge(PurgeTarget::Object(0));
     until("a first purge everywhere", async || rig.is_everywhere(first).await.then_some(())).await?;
     let _clearing = tasks.spawn(clear_caches(rig.clone(), office.clone()));
     traffic(rig, office, tasks, clients).await?;
--- a/standins/src/soak/caches.rs
+++ b/standins/src/soak/caches.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use silverspindle_wire::clock::{self, Stamp};
-use silverspindle_wire::framing::Messages;
+use silverspindle_wire::framing::MessageReader;
 use silverspindle_wire::resp;
 use socket2::SockRef;
 
@@ -219,7 +219,7 @@
         tasks: &Rc<LocalExecutor<'static>>,
     ) -> io::Result<()> {
         let life = self.life.get();
-        let mut commands = Messages::new(&**stream, codec::measure_command, CHUNK);
+        let mut commands = MessageReader::new(&**stream, codec::measure_command, CHUNK);
         let mut used = clock::now();
         loop {
             let look = async {
@@ -379,8 +379,8 @@
         };
         let id = want.id.as_bytes();
         let hit = match want.is_current {
-            true => resp::command(&[id, b"VALID", fields.as_bytes(), b""]),
-            false => resp::command(&[id, b"HIT", fields.as_bytes(), &body]),
+            true => resp::encode_array(&[id, b"VALID", fields.as_bytes(), b""]),
+            false => resp::encode_array(&[id, b"HIT", fields.as_bytes(), &body]),
         };
         match want.reply {
             Reply::Hit => stream.write_all(&hit).await,
@@ -396,11 +396,11 @@
             Reply::Stalled => stream.write_all(&hit[..hit.len() / 2]).await,
             Reply::WrongCopy => {
                 let fields = format!("version={},stamp={}", codec::tag(stamp + 1), stamp / MS);
-                stream.write_all(&resp::command(&[id, b"VALID", fields.as_bytes(), b""])).await
+                stream.write_all(&resp::encode_array(&[id, b"VALID", fields.as_bytes(), b""])).await
             }
             Reply::Garbage => stream.write_all(b"\x00\xff not an answer\r\n").await,
-            Reply::OddWord => stream.write_all(&resp::command(&[id, b"PERHAPS", b"-", b""])).await,
-            word => stream.write_all(&resp::command(&[id, word.name().as_bytes(), b"-", b""])).await,
+            Reply::OddWord => stream.write_all(&resp::encode_array(&[id, b"PERHAPS", b"-", b""])).await,
+            word => stream.write_all(&resp::encode_array(&[id, word.name().as_bytes(), b"-", b""])).await,
         }
     }
 }
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -208,7 +208,7 @@
     for _ in 0..rounds {
         let next = clock::now() + ROUND;
         acts.extend(soak.round(&tasks, &mut fork()));
-        clock::at(next).await;
+        clock::timer_at(next).await;
     }
     for act in acts {
         act.await;
@@ -352,11 +352,11 @@
         };
         Timer::after(FRONT_STOPS).await;
         node.door.admits.set(false);
-        clock::at(at + DRAIN_TERM).await;
+        clock::timer_at(at + DRAIN_TERM).await;
         if is_ready(running.management).await {
             self.broke("ready under a drain", name.to_owned());
         }
-        clock::at(at + DRAINED).await;
+        clock::timer_at(at + DRAINED).await;
         self.act(format!("{name}: resume"));
         self.records.drains.borrow_mut()[drain].until = Some(clock::now());
         if call(running.management, "PUT /-/resume").await != Some(true) {
--- a/standins/src/trial.rs
+++ b/standins/src/trial.rs
@@ -15,7 +15,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
 use silverspindle_wire::clock;
-use silverspindle_wire::feed::Purged;
+use silverspindle_wire::feed::PurgeTarget;
 
 use crate::clients::{AIM, BUDGET, Clients, Tally};
 use crate::codec::{Member, News};
@@ -379,7 +379,7 @@
     let mut killed = None;
     while due < end {
         due += gaps.sample(&mut random) as Micros + 1;
-        clock::at(due).await;
+        clock::timer_at(due).await;
         if clock::now() >= looked + SECOND / 10 {
             looked = clock::now();
             samples.push((looked, sample(&clients[0], &office)));
@@ -449,7 +449,7 @@
             tell(id, 0, now / 1000);
         }
         Act::Purge(group) => {
-            office.purge(Purged::Group(u64::from(group)), now);
+            office.purge(PurgeTarget::Group(u64::from(group)), now);
             coordinator.tell(News::Purge(group, now / 1000));
         }
         Act::Fault(HEAD, fault) => office.head.fault.set(fault),
--- a/standins/tests/purge_checker.rs
+++ b/standins/tests/purge_checker.rs
@@ -4,7 +4,7 @@
 use silverspindle_standins::Micros;
 use silverspindle_standins::checker::purges::{Event, Everywhere, Findings, Purge, check, stale};
 use silverspindle_standins::clients::ServedCopy;
-use silverspindle_wire::feed::Purged;
+use silverspindle_wire::feed::PurgeTarget;
 
 const LEASE: Micros = 3000;
 const STATED: Micros = 5000;
@@ -118,8 +118,8 @@
 #[test]
 fn an_answer_from_a_purged_copy_after_the_stated_time_is_found() {
     let purges = [
-        Purge { number: 2, what: Purged::Object(0x1aa), at: 1000 },
-        Purge { number: 3, what: Purged::Group(0xaa), at: 2000 },
+        Purge { number: 2, what: PurgeTarget::Object(0x1aa), at: 1000 },
+        Purge { number: 3, what: PurgeTarget::Group(0xaa), at: 2000 },
     ];
     let breaches =
         |object, due, stamp| stale("a", &[ServedCopy { due, object, stamp }], &purges, STATED).len();
--- a/wire/src/clock.rs
+++ b/wire/src/clock.rs
@@ -26,25 +26,25 @@
 }
 
 /// A timer that fires at a time of the process clock, or at once if that time is past.
-pub fn at(time: Micros) -> Timer {
+pub fn timer_at(time: Micros) -> Timer {
     Timer::after(Duration::from_micros(time.saturating_sub(now())))
 }
 
 /// Time source of an actor: the process clock, or a value that a test sets.
 #[derive(Clone, Debug, Default)]
 pub struct Clock {
-    given: Option<Rc<Cell<Micros>>>,
+    manual: Option<Rc<Cell<Micros>>>,
 }
 
 impl Clock {
     /// A clock for tests that returns the value in the cell.
-    pub fn given(time: Rc<Cell<Micros>>) -> Self {
-        Self { given: Some(time) }
+    pub fn manual(time: Rc<Cell<Micros>>) -> Self {
+        Self { manual: Some(time) }
     }
 
     /// The current time of this clock, in microseconds.
     pub fn now(&self) -> Micros {
-        self.given.as_ref().map_or_else(now, |time| time.get())
+        self.manual.as_ref().map_or_else(now, |time| time.get())
     }
 }
 
--- a/wire/src/feed.rs
+++ b/wire/src/feed.rs
@@ -16,7 +16,7 @@
 
 /// An entry of the membership list: a member and its address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListEntry {
     /// The member, as passed to the decision module.
     pub member: Member,
     /// Address that the member listens on.
@@ -25,20 +25,20 @@
 
 /// Content of a coordinator's event.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum Update {
     /// No change: the coordinator has sent everything that it has.
-    Nothing,
+    UpToDate,
     /// Entries of the membership list.
     Members {
         /// The entries are the whole list, not a change to it.
         complete: bool,
         /// The entries.
-        members: Vec<Listed>,
+        members: Vec<ListEntry>,
     },
     /// A purge: copies older than its time must not be served.
     Purged {
         /// What was purged.
-        what: Purged,
+        what: PurgeTarget,
         /// Time of the purge on the wall clock of the machine that issued it.
         at: Stamp,
     },
@@ -59,7 +59,7 @@
     /// Number of the event in the coordinator's sequence.
     pub index: u64,
     /// Content of the event.
-    pub news: News,
+    pub update: Update,
 }
 
 /// Length of the first frame in the buffer; see [`crate::framing::Measure`].
@@ -76,27 +76,27 @@
     let mut c = Cursor(frame);
     c.number(4)?;
     let (index, kind) = (c.number(8)?, c.number(1)?);
-    let news = match kind {
-        0 => News::Nothing,
+    let update = match kind {
+        0 => Update::UpToDate,
         1 | 2 if c.0.len() % RECORD_SIZE == 0 => {
             let mut members = Vec::with_capacity(c.0.len() / RECORD_SIZE);
             while !c.0.is_empty() {
                 members.push(decode_record(&mut c)?);
             }
-            News::Members { complete: kind == 1, members }
+            Update::Members { complete: kind == 1, members }
         }
-        3 => News::Purged { what: Purged::Object(c.number(8)?), at: Stamp::from_millis(c.number(8)?) },
-        4 => News::Purged { what: Purged::Group(c.number(2)?), at: Stamp::from_millis(c.number(8)?) },
+        3 => Update::Purged { what: PurgeTarget::Object(c.number(8)?), at: Stamp::from_millis(c.number(8)?) },
+        4 => Update::Purged { what: PurgeTarget::Group(c.number(2)?), at: Stamp::from_millis(c.number(8)?) },
         _ => return Err(Malformed("unknown kind or half a record")),
     };
     if kind != 0 && !c.0.is_empty() {
         return Err(Malformed("bytes after the event"));
     }
-    Ok(Event { index, news })
+    Ok(Event { index, update })
 }
 
 /// Decodes a member's record in a frame.
-fn decode_record(c: &mut Cursor) -> Result<Listed, Malformed> {
+fn decode_record(c: &mut Cursor) -> Result<ListEntry, Malformed> {
     let id = MemberId(c.number(4)?);
     let address = SocketAddr::from((Ipv4Addr::from(c.number(4)? as u32), c.number(2)? as u16));
     let lifecycle = match c.number(1)? {
@@ -108,47 +108,47 @@
     let (zone, kind, cell) = (c.number(1)? as usize, c.number(1)? as usize, c.number(2)?);
     let weight = c.number(4)? as f64 / 1000.0;
     let started = Stamp::from_millis(c.number(8)?).on_own_clock();
-    Ok(Listed { member: Member { id, lifecycle, zone, kind, cell, weight, started }, address })
+    Ok(ListEntry { member: Member { id, lifecycle, zone, kind, cell, weight, started }, address })
 }
 
 /// Parses the configuration's `known`: the number of its last event and the events. An error names the key.
-pub fn known(value: &Value, names: &Catalogue) -> Result<(u64, Vec<Event>), String> {
+pub fn parse_known(value: &Value, names: &Catalogue) -> Result<(u64, Vec<Event>), String> {
     let index = value["index"].as_u64().ok_or("known.index: must be a whole number")?;
     let updates = value["updates"].as_array().ok_or("known.updates: must be a list")?;
     let events = updates.iter().enumerate().map(|(i, v)| {
         let malformed = |what: &str| format!("known.updates[{i}].{what}: missing or malformed");
-        let news = if let Some(list) = v.get("endpoints") {
+        let update = if let Some(list) = v.get("endpoints") {
             let entries = list["members"].as_array().ok_or_else(|| malformed("endpoints.members"))?;
             let members = entries
                 .iter()
                 .map(|m| parse_entry(m, names).map_err(|key| malformed(&format!("endpoints.members.{key}"))))
                 .collect::<Result<_, _>>()?;
-            News::Members { complete: list["complete"].as_bool().unwrap_or(false), members }
+            Update::Members { complete: list["complete"].as_bool().unwrap_or(false), members }
         } else {
             let purge = v.get("evict").ok_or_else(|| malformed("endpoints"))?;
             let what = match (purge.get("ref"), purge.get("shard")) {
-                (Some(object), _) => object.as_str().and_then(hex).map(Purged::Object),
-                (None, group) => group.and_then(Value::as_u64).map(Purged::Group),
+                (Some(object), _) => object.as_str().and_then(parse_hex_id).map(PurgeTarget::Object),
+                (None, group) => group.and_then(Value::as_u64).map(PurgeTarget::Group),
             };
             let at = purge["unix_ms"].as_u64().ok_or_else(|| malformed("evict.unix_ms"))?;
-            News::Purged { what: what.ok_or_else(|| malformed("evict.ref"))?, at: Stamp::from_millis(at) }
+            Update::Purged { what: what.ok_or_else(|| malformed("evict.ref"))?, at: Stamp::from_millis(at) }
         };
-        Ok(Event { index: v["index"].as_u64().ok_or_else(|| malformed("index"))?, news })
+        Ok(Event { index: v["index"].as_u64().ok_or_else(|| malformed("index"))?, update })
     });
     Ok((index, events.collect::<Result<_, String>>()?))
 }
 
 /// Parses an object or request id: a number of exactly sixteen hex digits.
-pub fn hex(text: &str) -> Option<u64> {
+pub fn parse_hex_id(text: &str) -> Option<u64> {
     let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
 /// Parses a member's entry in `known`. An error is the name of the key.
-fn parse_entry(m: &Value, names: &Catalogue) -> Result<Listed, &'static str> {
+fn parse_entry(m: &Value, names: &Catalogue) -> Result<ListEntry, &'static str> {
     let id =
         m["id"].as_str().and_then(|t| t.strip_prefix("s-")).and_then(|t| u32::from_str_radix(t, 16).ok());
-    Ok(Listed {
+    Ok(ListEntry {
         member: Member {
             id: MemberId(u64::from(id.ok_or("id")?)),
             lifecycle: match m["phase"].as_str() {
--- a/wire/src/framing.rs
+++ b/wire/src/framing.rs
@@ -41,7 +41,7 @@
 }
 
 /// Reads whole messages from a stream.
-pub struct Messages<R> {
+pub struct MessageReader<R> {
     stream: R,
     buffer: BytesMut,
     /// Number of received bytes in the buffer. The bytes behind them are spare room, left by a read that was cancelled.
@@ -61,7 +61,7 @@
     message_timeout: Option<Duration>,
 }
 
-impl<R: AsyncRead + Unpin> Messages<R> {
+impl<R: AsyncRead + Unpin> MessageReader<R> {
     /// Reads at most `chunk` bytes at a time, which bounds the buffer of an idle connection.
     pub fn new(stream: R, measure: Measure, chunk: usize) -> Self {
         Self {
@@ -79,28 +79,28 @@
     }
 
     /// Sets the time since when unread bytes may lie on the stream; without it, the time of [`Self::new`].
-    pub fn opened(self, at: Micros) -> Self {
+    pub fn unread_since(self, at: Micros) -> Self {
         Self { empty_at: at, ..self }
     }
 
     /// Makes reading fail if an incomplete message receives no byte for this long.
-    pub fn or_stall(self, stall: Duration) -> Self {
-        Self { stall_timeout: Some(stall), ..self }
+    pub fn with_stall_timeout(self, timeout: Duration) -> Self {
+        Self { stall_timeout: Some(timeout), ..self }
     }
 
     /// Makes reading fail if a message is not complete this long after its first byte, even if bytes keep trickling in.
-    pub fn within(self, whole: Duration) -> Self {
-        Self { message_timeout: Some(whole), ..self }
+    pub fn with_message_timeout(self, timeout: Duration) -> Self {
+        Self { message_timeout: Some(timeout), ..self }
     }
 
     /// When the first bytes of an incomplete message were read; none if the buffer holds no such bytes.
-    pub fn begun(&self) -> Option<Micros> {
+    pub fn partial_since(&self) -> Option<Micros> {
         self.partial_since
     }
 
     /// The earliest time at which the last byte of the last message can have arrived. It may be well before the read:
     /// bytes lie unread while the reading task is busy elsewhere.
-    pub fn came(&self) -> Micros {
+    pub fn received_at(&self) -> Micros {
         self.received_at
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Reads a byte string behind its length, a four-byte integer.
-    pub fn counted(&mut self) -> Result<&'a [u8], Malformed> {
+    pub fn length_prefixed(&mut self) -> Result<&'a [u8], Malformed> {
         let length = self.number(4)? as usize;
         self.take(length)
     }
--- a/wire/src/resp.rs
+++ b/wire/src/resp.rs
@@ -10,19 +10,19 @@
 /// Largest fields string in bytes.
 const MAX_FIELDS: usize = 4096;
 /// Largest id and largest answer word, in bytes.
-const MAX_WORD: usize = 64;
+const MAX_SHORT_STRING: usize = 64;
 /// Longest length line of an array or string in bytes, including the `*` or `$` and the line end.
 const MAX_LINE: usize = 12;
 
-const WORDS: [(&[u8], Word); 8] = [
-    (b"HIT", Word::Hit),
-    (b"VALID", Word::Valid),
-    (b"NONE", Word::None),
-    (b"SHED", Word::Shed),
-    (b"FAULT", Word::Fault),
-    (b"LATE", Word::Late),
-    (b"PONG", Word::Pong),
-    (b"SICK", Word::Sick),
+const CODES: [(&[u8], AnswerCode); 8] = [
+    (b"HIT", AnswerCode::Hit),
+    (b"VALID", AnswerCode::Valid),
+    (b"NONE", AnswerCode::None),
+    (b"SHED", AnswerCode::Shed),
+    (b"FAULT", AnswerCode::Fault),
+    (b"LATE", AnswerCode::Late),
+    (b"PONG", AnswerCode::Pong),
+    (b"SICK", AnswerCode::Sick),
 ];
 
 const NOTES: [(&str, Note); 10] = [
@@ -40,7 +40,7 @@
 
 /// Answer word of a cache: how a request or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum AnswerCode {
     /// Served with a body.
     Hit,
     /// Served without a body: the client's own copy is current.
@@ -59,15 +59,15 @@
     Sick,
 }
 
-impl Word {
+impl AnswerCode {
     /// Status of the attempt that received this answer.
     pub fn status(self) -> Status {
         match self {
-            Word::Hit | Word::Valid | Word::Pong => Status::Ok,
-            Word::None => Status::Miss,
-            Word::Shed => Status::Full,
-            Word::Fault | Word::Sick => Status::Error,
-            Word::Late => Status::Moot,
+            AnswerCode::Hit | AnswerCode::Valid | AnswerCode::Pong => Status::Ok,
+            AnswerCode::None => Status::Miss,
+            AnswerCode::Shed => Status::Full,
+            AnswerCode::Fault | AnswerCode::Sick => Status::Error,
+            AnswerCode::Late => Status::Moot,
         }
     }
 }
@@ -78,7 +78,7 @@
     /// Id of the request, or tag of the probe.
     pub id: &'a [u8],
     /// How the request or the probe ended.
-    pub word: Word,
+    pub code: AnswerCode,
     /// How the cache obtained the answer.
     pub note: Option<Note>,
     /// Time that the cache waited for the source of the fill.
@@ -86,7 +86,7 @@
     /// Load report of the cache.
     pub load: Option<Load>,
     /// Version of the object: its tag, and the time at which the origin issued it.
-    pub name: Option<(&'a [u8], Stamp)>,
+    pub version: Option<(&'a [u8], Stamp)>,
     /// Bytes of the object.
     pub body: &'a [u8],
 }
@@ -118,7 +118,7 @@
     }
     for i in 0..count {
         let Some((length, start)) = length_line(buffer, at, b'$')? else { return Ok(buffer.len() + 1) };
-        let max_length = [MAX_WORD, MAX_WORD, MAX_FIELDS, MAX_BODY][i];
+        let max_length = [MAX_SHORT_STRING, MAX_SHORT_STRING, MAX_FIELDS, MAX_BODY][i];
         if length > max_length {
             return Err(Malformed("string too long"));
         }
@@ -145,8 +145,8 @@
         return Err(Malformed("not exactly one whole answer"));
     }
     let [id, word, fields, body] = strings;
-    let word = WORDS.iter().find(|(w, _)| *w == word).ok_or(Malformed("unknown word"))?.1;
-    let mut answer = Answer { id, word, note: None, waited: None, load: None, name: None, body };
+    let code = CODES.iter().find(|(w, _)| *w == word).ok_or(Malformed("unknown word"))?.1;
+    let mut answer = Answer { id, code, note: None, waited: None, load: None, version: None, body };
     let (mut tag, mut stamp) = (None, None);
     let fields = std::str::from_utf8(fields).map_err(|_| Malformed("fields are not valid UTF-8"))?;
     for (name, value) in fields.split(',').filter_map(|f| f.split_once('=')) {
@@ -159,7 +159,7 @@
             _ => {}
         }
     }
-    answer.name = tag.zip(stamp);
+    answer.version = tag.zip(stamp);
     Ok(answer)
 }
 
@@ -184,7 +184,7 @@
 }
 
 /// Encodes an array of these bulk strings: a command to a cache.
-pub fn command(strings: &[&[u8]]) -> Vec<u8> {
+pub fn encode_array(strings: &[&[u8]]) -> Vec<u8> {
     let mut out = Vec::with_capacity(strings.iter().map(|s| s.len() + MAX_LINE).sum());
     out.extend(format!("*{}\r\n", strings.len()).into_bytes());
     for s in strings {
--- a/wire/src/thrift.rs
+++ b/wire/src/thrift.rs
@@ -3,9 +3,9 @@
 use crate::framing::{Cursor, Malformed};
 
 /// Largest frame of a client, in bytes: a write of 48,000 bytes and its fields.
-pub const MOST_FRAME: usize = 64 * 1024;
+pub const MAX_FRAME: usize = 64 * 1024;
 /// Largest body of a write, in bytes.
-pub const MOST_WRITE: usize = 48_000;
+pub const MAX_WRITE_BODY: usize = 48_000;
 /// Deepest nesting of a field that is skipped. No client's message is nested deeper; the limit bounds the recursion in
 /// [`skip`].
 const MAX_DEPTH: u32 = 8;
@@ -56,7 +56,7 @@
 /// Length of the first frame in the buffer; see [`crate::framing::Measure`].
 pub fn measure(buffer: &[u8]) -> Result<usize, Malformed> {
     let Ok(length) = Cursor(buffer).number(4) else { return Ok(4) };
-    if length as usize > MOST_FRAME {
+    if length as usize > MAX_FRAME {
         return Err(Malformed("frame too long"));
     }
     Ok(4 + length as usize)
@@ -73,7 +73,7 @@
     if kind != CALL && kind != ONEWAY {
         return Err(Malformed("not a call"));
     }
-    let (name, seq) = (c.counted()?, c.number(4)? as u32 as i32);
+    let (name, seq) = (c.length_prefixed()?, c.number(4)? as u32 as i32);
     let (mut fields, mut body, mut forgotten) = (None, &b""[..], None);
     loop {
         let field_type = c.number(1)? as u8;
@@ -82,7 +82,7 @@
         }
         match (name, field_type, c.number(2)?) {
             (b"serve", MAP, 1) => fields = Some(decode_string_map(&mut c)?),
-            (b"serve", STRING, 2) => body = c.counted()?,
+            (b"serve", STRING, 2) => body = c.length_prefixed()?,
             (b"forget", I32, 1) => forgotten = Some(c.number(4)? as u32 as i32),
             _ => skip(&mut c, field_type, 0)?,
         }
@@ -105,7 +105,7 @@
     if count > c.0.len() / 8 || (count > 0 && (key, value) != (STRING, STRING)) {
         return Err(Malformed("not a map of strings"));
     }
-    (0..count).map(|_| Ok((c.counted()?, c.counted()?))).collect()
+    (0..count).map(|_| Ok((c.length_prefixed()?, c.length_prefixed()?))).collect()
 }
 
 /// Skips a value of this field type.
@@ -122,7 +122,7 @@
         _ => None,
     };
     match field_type {
-        STRING => drop(c.counted()?),
+        STRING => drop(c.length_prefixed()?),
         STRUCT => loop {
             let field_type = c.number(1)? as u8;
             if field_type == STOP {
@@ -189,7 +189,13 @@
 }
 
 /// Encodes a reply that returns an `Answer`: the bytes before and after its body, which is sent from where it lies.
-pub fn answer(method: &str, seq: i32, body: usize, fields: &[(&str, &str)], good: bool) -> [Vec<u8>; 2] {
+pub fn encode_answer(
+    method: &str,
+    seq: i32,
+    body: usize,
+    fields: &[(&str, &str)],
+    good: bool,
+) -> [Vec<u8>; 2] {
     let mut head = begin_frame(REPLY, method, seq);
     put_field_header(&mut head, STRUCT, 0);
     put_field_header(&mut head, STRING, 1);
@@ -212,7 +218,7 @@
 }
 
 /// Encodes the exception `Throttled`, with the milliseconds to back off if there is such advice.
-pub fn throttled(seq: i32, backoff: Option<u64>) -> Vec<u8> {
+pub fn encode_throttled(seq: i32, backoff: Option<u64>) -> Vec<u8> {
     match backoff.map(|ms| ms.to_string()) {
         Some(ms) => exception_reply(seq, 1, &[("backoff", &ms)]),
         None => exception_reply(seq, 1, &[]),
@@ -220,12 +226,12 @@
 }
 
 /// Encodes the exception `Broken`.
-pub fn broken(seq: i32) -> Vec<u8> {
+pub fn encode_broken(seq: i32) -> Vec<u8> {
     exception_reply(seq, 2, &[])
 }
 
 /// Encodes the application exception for a method that does not exist.
-pub fn unknown_method(name: &str, seq: i32) -> Vec<u8> {
+pub fn encode_unknown_method(name: &str, seq: i32) -> Vec<u8> {
     const UNKNOWN_METHOD: i32 = 1;
     let mut out = begin_frame(EXCEPTION, name, seq);
     put_field_header(&mut out, STRING, 1);
