--- a/silverspindle/tests/common/mod.rs
+++ b/silverspindle/tests/common/mod.rs
@@ -74,12 +74,14 @@
     Ipv4Addr::new(127, a | 128, b, c.clamp(1, 254))
 }
 
+/// A listener on a free port of this test's address.
 pub fn listen() -> (Async<TcpListener>, SocketAddr) {
     let listener = Async::<TcpListener>::bind((ip(), 0)).unwrap();
     let address = listener.get_ref().local_addr().unwrap();
     (listener, address)
 }
 
+/// Settings of a router in the zone `edge`, with the classes `page` and `scan`.
 pub fn settings() -> Value {
     let class = |name: &str, kind: &str| json!({"name": name, "idempotency": kind, "group": "all", "slo_ms": 400.0, "deadline_ms": 30000.0, "window_ms": 2000.0});
     json!({
@@ -95,12 +97,14 @@
     })
 }
 
+/// A member's entry in the configuration's `known`.
 pub fn entry(id: u32, kind: &str, address: SocketAddr) -> Value {
     let locality = if kind == "box" { "edge" } else { "hub" };
     json!({"id": format!("s-{id:08x}"), "host_port": address.to_string(), "locality": locality, "flavor": kind,
         "cell": 0, "phase": "ready", "size": 10, "up_since_ms": 0})
 }
 
+/// The configuration of the router n0 with these members.
 pub fn configuration(members: &[Value], coordinator: SocketAddr) -> Value {
     json!({"name": "n0", "listen": format!("{}:0", ip()), "seed": "7", "coordinator": coordinator.to_string(),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "flow_bytes_per_s": 310000,
@@ -108,6 +112,7 @@
         "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"revision": 1, "complete": true, "members": members}}]}})
 }
 
+/// Parses a configuration without environment variables.
 pub fn config(file: &Value) -> Result<Config, String> {
     Config::parse(&file.to_string(), &|_| None)
 }
@@ -122,8 +127,8 @@
 /// the answers.
 pub struct Cache {
     pub address: SocketAddr,
-    read: async_channel::Receiver<(Command, Stream)>,
-    tell: async_channel::Sender<(Command, Stream)>,
+    commands: async_channel::Receiver<(Command, Stream)>,
+    queue: async_channel::Sender<(Command, Stream)>,
     /// Connections that the router has closed, by the router's port.
     pub closed: async_channel::Receiver<u16>,
 }
@@ -131,16 +136,16 @@
 impl Cache {
     pub fn start(tasks: &Tasks) -> Self {
         let (listener, address) = listen();
-        let (tell, read) = async_channel::unbounded();
-        let own = tell.clone();
+        let (queue, commands) = async_channel::unbounded();
+        let own = queue.clone();
         let (close, closed) = async_channel::unbounded();
         let all = tasks.clone();
         let accept = async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (stream, tell, close) = (Rc::new(stream), tell.clone(), close.clone());
+                let (stream, queue, close) = (Rc::new(stream), queue.clone(), close.clone());
                 let serve = async move {
                     while let Some(command) = read_command(&stream).await {
-                        let _ = tell.send((command, stream.clone())).await;
+                        let _ = queue.send((command, stream.clone())).await;
                     }
                     let _ = close.send(port(&stream)).await;
                 };
@@ -148,33 +153,35 @@
             }
         };
         tasks.spawn(accept).detach();
-        Self { address, read, tell: own, closed }
+        Self { address, commands, queue: own, closed }
     }
 
     /// Puts a command back behind those that wait.
     pub fn put_back(&self, command: (Command, Stream)) {
-        self.tell.try_send(command).unwrap();
+        self.queue.try_send(command).unwrap();
     }
 
     /// The next command, and the connection for its answer.
     pub async fn next(&self) -> (Command, Stream) {
-        self.read.recv().await.unwrap()
+        self.commands.recv().await.unwrap()
     }
 
+    /// Whether no command waits to be read by the test.
     pub fn nothing_came(&self) -> bool {
-        self.read.is_empty()
+        self.commands.is_empty()
     }
 }
 
+/// Port of the other side of a connection.
 pub fn port(stream: &Async<TcpStream>) -> u16 {
     stream.get_ref().peer_addr().map_or(0, |a| a.port())
 }
 
 async fn read_command(mut stream: &Async<TcpStream>) -> Option<Command> {
-    let strings = number(&mut stream).await?;
+    let strings = read_length(&mut stream).await?;
     let mut command = Vec::new();
     for _ in 0..strings {
-        let mut bytes = vec![0; number(&mut stream).await? + 2];
+        let mut bytes = vec![0; read_length(&mut stream).await? + 2];
         stream.read_exact(&mut bytes).await.ok()?;
         bytes.truncate(bytes.len() - 2);
         command.push(String::from_utf8_lossy(&bytes).into_owned());
@@ -182,7 +189,8 @@
     Some(command)
 }
 
-async fn number(stream: &mut &Async<TcpStream>) -> Option<usize> {
+/// Reads a length line of an array or bulk string.
+async fn read_length(stream: &mut &Async<TcpStream>) -> Option<usize> {
     let (mut line, mut byte) = (String::new(), [0]);
     while byte[0] != b'\n' {
         stream.read_exact(&mut byte).await.ok()?;
@@ -191,6 +199,7 @@
     line.trim()[1..].parse().ok()
 }
 
+/// Writes an array of bulk strings to a router.
 pub async fn reply(mut stream: &Async<TcpStream>, strings: &[&str]) {
     let strings: Vec<&[u8]> = strings.iter().map(|s| s.as_bytes()).collect();
     stream.write_all(&silverspindle::resp::encode_array(&strings)).await.unwrap();
@@ -201,7 +210,8 @@
     command[2].split(',').filter_map(|f| f.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
-fn text(out: &mut Vec<u8>, text: &[u8]) {
+/// Appends a string behind its length.
+fn put_string(out: &mut Vec<u8>, text: &[u8]) {
     out.extend((text.len() as u32).to_be_bytes());
     out.extend(text);
 }
@@ -209,7 +219,7 @@
 /// A frame of a client: a call (`kind` 1) or a oneway call (4) with these arguments, including the stop byte.
 pub fn call(kind: u8, name: &str, seq: i32, arguments: &[u8]) -> Vec<u8> {
     let mut out = vec![0x80, 1, 0, kind];
-    text(&mut out, name.as_bytes());
+    put_string(&mut out, name.as_bytes());
     out.extend(seq.to_be_bytes());
     out.extend(arguments);
     let mut frame = (out.len() as u32).to_be_bytes().to_vec();
@@ -217,19 +227,21 @@
     frame
 }
 
+/// Encodes a call of `serve`.
 pub fn serve(seq: i32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = vec![13, 0, 1, 11, 11];
     out.extend((fields.len() as u32).to_be_bytes());
     for (name, value) in fields {
-        text(&mut out, name.as_bytes());
-        text(&mut out, value.as_bytes());
+        put_string(&mut out, name.as_bytes());
+        put_string(&mut out, value.as_bytes());
     }
     out.extend([11, 0, 2]);
-    text(&mut out, body);
+    put_string(&mut out, body);
     out.push(0);
     call(1, "serve", seq, &out)
 }
 
+/// Encodes a oneway call of `forget`.
 pub fn forget(seq: i32) -> Vec<u8> {
     let mut out = vec![8, 0, 1];
     out.extend(seq.to_be_bytes());
@@ -237,6 +249,7 @@
     call(4, "forget", 0, &out)
 }
 
+/// Fields of a request of the class `page` with this id.
 pub fn page(rid: &'static str) -> Vec<(&'static str, &'static str)> {
     vec![
         ("method", "page"),
@@ -311,6 +324,7 @@
         self.answers.recv().await.ok()
     }
 
+    /// Calls `isWell`; whether the router is ready.
     pub async fn is_well(&self, seq: i32) -> bool {
         self.send(&call(1, "isWell", seq, &[2, 0, 1, 0, 0])).await;
         let answer = self.next().await.unwrap();
@@ -320,6 +334,7 @@
     }
 }
 
+/// The expected answer to a request that was served with this body.
 pub fn served_answer(seq: i32, body: &[u8]) -> Vec<u8> {
     let [mut head, tail] = thrift::encode_answer("serve", seq, body.len(), &[], true);
     head.extend(body);
--- a/silverspindle/tests/common/relays.rs
+++ b/silverspindle/tests/common/relays.rs
@@ -21,14 +21,14 @@
 pub const SHORT_LEASE: &str = "2500ms";
 /// A lease that does not expire during a test, however slow the machine.
 pub const LONG_LEASE: &str = "1m";
-const TERMS: &str = "relay-direct 2s\nrelay-batch 50ms\nrelay-report 200ms\n";
-const LOOK: Duration = Duration::from_millis(10);
+const RELAY_TIMES: &str = "relay-direct 2s\nrelay-batch 50ms\nrelay-report 200ms\n";
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A coordinator with a log of events, numbered from 2 on. It sends them to each follower, with a repeated event that
 /// says that the follower is up to date.
 #[derive(Default)]
 pub struct Coordinator {
-    told: RefCell<Vec<Vec<u8>>>,
+    events: RefCell<Vec<Vec<u8>>>,
     /// If set, nothing is sent, not even the event that says that the follower is up to date.
     pub silent: Cell<bool>,
 }
@@ -36,8 +36,8 @@
 impl Coordinator {
     /// Adds an event.
     pub fn tell(&self, kind: u8, payload: &[u8]) {
-        let number = self.told.borrow().len() as u64 + 2;
-        self.told.borrow_mut().push(event(number, kind, payload));
+        let number = self.events.borrow().len() as u64 + 2;
+        self.events.borrow_mut().push(event(number, kind, payload));
     }
 
     /// Adds a purge of an object with the current time.
@@ -68,20 +68,20 @@
     async fn follow(&self, stream: Async<TcpStream>) -> io::Result<()> {
         let mut last = [0; 8];
         (&stream).read_exact(&mut last).await?;
-        let mut told = u64::from_be_bytes(last).max(1) as usize - 1;
+        let mut sent = u64::from_be_bytes(last).max(1) as usize - 1;
         let closed = async {
             let read = (&stream).read(&mut [0; 1]).await;
             read.map(drop)
         };
         let tell = async {
             loop {
-                let new: Vec<Vec<u8>> = self.told.borrow().iter().skip(told).cloned().collect();
+                let new: Vec<Vec<u8>> = self.events.borrow().iter().skip(sent).cloned().collect();
                 if !self.silent.get() {
-                    told += new.len();
+                    sent += new.len();
                     (&stream).write_all(&new.concat()).await?;
                     (&stream).write_all(&event(0, 0, b"")).await?;
                 }
-                Timer::after(10 * LOOK).await;
+                Timer::after(10 * POLL_INTERVAL).await;
             }
         };
         future::or(closed, tell).await
@@ -94,6 +94,7 @@
     pub address: SocketAddr,
     /// Channel that is closed while the proxy is cut.
     open: Rc<RefCell<async_channel::Receiver<()>>>,
+    /// Sending side of the channel; none while the proxy is cut.
     held: RefCell<Option<async_channel::Sender<()>>>,
 }
 
@@ -112,9 +113,9 @@
             }
         };
         tasks.spawn(accept).detach();
-        let gate = Self { address, open, held: RefCell::default() };
-        gate.mend();
-        gate
+        let proxy = Self { address, open, held: RefCell::default() };
+        proxy.mend();
+        proxy
     }
 
     /// Closes all connections and accepts no new one.
@@ -129,6 +130,7 @@
     }
 }
 
+/// Copies bytes both ways between a connection and the target, until one of them or the channel is closed.
 async fn pass(one: Async<TcpStream>, target: SocketAddr, cut: async_channel::Receiver<()>) -> io::Result<()> {
     let other = Async::<TcpStream>::connect(target).await?;
     let there = futures_lite::io::copy(&one, &other);
@@ -148,7 +150,8 @@
 /// Operators' file of a router with this lease and further directives.
 pub fn relay_conf(office: &KeyFolder, name: &str, lease: &str, more: &str) -> silverspindle_conf::Conf {
     let records = records_path(office, name);
-    let file = format!("{TERMS}relay-within {lease}\nrelay-records-file '{}'\n{more}", records.display());
+    let file =
+        format!("{RELAY_TIMES}relay-within {lease}\nrelay-records-file '{}'\n{more}", records.display());
     office.conf(name, &file)
 }
 
@@ -160,13 +163,13 @@
 }
 
 /// Waits until a line matches; returns all lines up to then.
-pub async fn wait_for_record(path: &Path, good: impl Fn(&Value) -> bool) -> Vec<Value> {
+pub async fn wait_for_record(path: &Path, matches: impl Fn(&Value) -> bool) -> Vec<Value> {
     loop {
         let all = records(path);
-        if all.iter().any(&good) {
+        if all.iter().any(&matches) {
             return all;
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
@@ -190,14 +193,14 @@
         if all.iter().rfind(|line| line["kind"] == "mode").is_some_and(|line| line["mode"] == mode) {
             return;
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
 /// Waits until a condition holds.
-pub async fn wait_until(good: impl Fn() -> bool) {
-    while !good() {
-        Timer::after(LOOK).await;
+pub async fn wait_until(holds: impl Fn() -> bool) {
+    while !holds() {
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
--- a/silverspindle/tests/common/sender.rs
+++ b/silverspindle/tests/common/sender.rs
@@ -57,7 +57,7 @@
     }
 
     async fn write(&self, mut stream: &Async<std::net::TcpStream>, behaviour: SenderBehaviour) {
-        let mut owed: Vec<u8> = Vec::new();
+        let mut unsent_half: Vec<u8> = Vec::new();
         while !self.is_over() {
             let seq = self.last.get() + 1;
             let (rid, object) = (format!("{seq:016x}"), format!("{:016x}", seq * 7919));
@@ -65,11 +65,11 @@
             (fields[1].1, fields[2].1, fields[3].1) = (&rid, behaviour.budget, &object);
             let request = serve(seq, &fields, b"");
             let half = if behaviour.halves { request.len() / 2 } else { request.len() };
-            let mut bytes = std::mem::take(&mut owed);
+            let mut bytes = std::mem::take(&mut unsent_half);
             // With halves, this write completes the previous request.
             let whole = if behaviour.halves { seq - 1 } else { seq };
             bytes.extend(&request[..half]);
-            owed.extend(&request[half..]);
+            unsent_half.extend(&request[half..]);
             if stream.write_all(&bytes).await.is_err() {
                 return;
             }
--- a/wire/src/resp.rs
+++ b/wire/src/resp.rs
@@ -14,6 +14,7 @@
 /// Longest length line of an array or string in bytes, including the `*` or `$` and the line end.
 const MAX_LINE: usize = 12;
 
+/// Answer words on the wire.
 const CODES: [(&[u8], AnswerCode); 8] = [
     (b"HIT", AnswerCode::Hit),
     (b"VALID", AnswerCode::Valid),
@@ -25,6 +26,7 @@
     (b"SICK", AnswerCode::Sick),
 ];
 
+/// Values of the field `why` on the wire.
 const NOTES: [(&str, Note); 10] = [
     ("warm", Note::Hit),
     ("fill", Note::Filled),
@@ -51,7 +53,7 @@
     Shed,
     /// Error; the request may have run.
     Fault,
-    /// The request's deadline had passed; it did not run.
+    /// The request was over already when the cache came to it; it did not run.
     Late,
     /// Answer of a healthy member to a probe.
     Pong,
@@ -145,7 +147,7 @@
         return Err(Malformed("not exactly one whole answer"));
     }
     let [id, word, fields, body] = strings;
-    let code = CODES.iter().find(|(w, _)| *w == word).ok_or(Malformed("unknown word"))?.1;
+    let code = CODES.iter().find(|(text, _)| *text == word).ok_or(Malformed("unknown word"))?.1;
     let mut answer = Answer { id, code, note: None, waited: None, load: None, version: None, body };
     let (mut tag, mut stamp) = (None, None);
     let fields = std::str::from_utf8(fields).map_err(|_| Malformed("fields are not valid UTF-8"))?;
