--- a/silverspindle/tests/distribution.rs
+++ b/silverspindle/tests/distribution.rs
@@ -10,7 +10,7 @@
 use async_io::Async;
 use bitternhold::Status;
 use common::office::*;
-use common::relays::{router, *};
+use common::relays::*;
 use common::world::ActorHarness;
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
--- a/silverspindle/tests/distribution_staff.rs
+++ b/silverspindle/tests/distribution_staff.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use common::office::*;
-use common::relays::{router, *};
+use common::relays::*;
 use common::*;
 use silverspindle::distribution::staff::{Progress, Staff};
 use silverspindle_relay::{Lagging, Status as Word, Summary};
--- a/wire/src/feed.rs
+++ b/wire/src/feed.rs
@@ -46,7 +46,7 @@
 
 /// Target of a purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Purged {
+pub enum PurgeTarget {
     /// An object.
     Object(u64),
     /// All objects of a group.
