--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -5,7 +5,7 @@
 
 use super::Director;
 use crate::clock::Stamp;
-use crate::feed::Purged;
+use crate::feed::PurgeTarget;
 use crate::steady::steady;
 use crate::traffic::Notice;
 
@@ -19,7 +19,7 @@
         match notice {
             Notice::News(news) => self.news(news, ListKind::Full),
             Notice::PurgedBefore(at) => {
-                let what = Purged::Group(ALL_GROUPS);
+                let what = PurgeTarget::Group(ALL_GROUPS);
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
                 self.purged(what, at);
             }
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -11,7 +11,7 @@
 
 use super::Attempt;
 use crate::clock::{Clock, Stamp};
-use crate::feed::{News, Purged};
+use crate::feed::{PurgeTarget, Update};
 use crate::steady::steady;
 
 /// A member as the coordinator lists it.
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub enum Notice {
     /// An event of the coordinator.
-    News(News),
+    News(Update),
     /// All copies issued before this time may have been purged.
     PurgedBefore(Stamp),
     /// The updates since the last `Batch` or `Reset` are the complete batch of these numbers.
@@ -89,8 +89,8 @@
     },
 }
 
-impl From<News> for Notice {
-    fn from(news: News) -> Self {
+impl From<Update> for Notice {
+    fn from(news: Update) -> Self {
         Self::News(news)
     }
 }
@@ -117,7 +117,7 @@
     /// Members to which attempts may be written.
     ready: RefCell<BTreeSet<MemberId>>,
     /// The number of the last purge of each object or group, and when it was received.
-    purges: RefCell<HashMap<Purged, (u64, Micros)>>,
+    purges: RefCell<HashMap<PurgeTarget, (u64, Micros)>>,
     /// Number of purges received.
     told: Cell<u64>,
 }
@@ -276,7 +276,7 @@
 
     /// Records a purge. Purges received longer than `keep` ago are forgotten, because no pending attempt is
     /// older.
-    pub fn purged(&self, now: Micros, what: Purged, keep: Micros) {
+    pub fn purged(&self, now: Micros, what: PurgeTarget, keep: Micros) {
         self.told.set(self.told.get() + 1);
         let mut purges = self.purges.borrow_mut();
         purges.retain(|_, (_, at)| now.saturating_sub(*at) <= keep);
@@ -302,9 +302,9 @@
             && !attempt.client.is_gone()
             && self.is_ready(to)
             && attempt.terms.source.is_none_or(|source| self.is_ready(source))
-            && !since(Purged::Group(attempt.call.group))
-            && !since(Purged::Group(ALL_GROUPS))
-            && !attempt.call.key().is_some_and(|key| since(Purged::Object(key)))
+            && !since(PurgeTarget::Group(attempt.call.group))
+            && !since(PurgeTarget::Group(ALL_GROUPS))
+            && !attempt.call.key().is_some_and(|key| since(PurgeTarget::Object(key)))
             // An attempt decided before the feed's lease ran out asks for copies that may have been purged.
             && oldest.is_none_or(|oldest| attempt.terms.max_age.is_some_and(|age| age <= oldest));
         let allows = match self.agreed.borrow().as_ref() {
--- a/silverspindle/tests/common/relays.rs
+++ b/silverspindle/tests/common/relays.rs
@@ -1,4 +1,5 @@
-//! What the tests of the distribution need: a coordinator with a log, a connection that can be cut, records read back.
+//! Helpers for tests of the distribution over relays: a coordinator with a log, connections that can be cut, and
+//! readers of record files and log lines.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -13,38 +14,39 @@
 use serde_json::Value;
 use tracing_subscriber::fmt::MakeWriter;
 
-use super::office::{Office, free, named};
+use super::office::{KeyFolder, free_address, named};
 use super::*;
 
-/// A lease that ends soon.
-pub const SHORT: &str = "2500ms";
-/// A lease that no test outlives, however slow the machine.
-pub const LONG: &str = "1m";
-const TERMS: &str = "relay-direct 2s\nrelay-batch 50ms\nrelay-report 200ms\n";
-const LOOK: Duration = Duration::from_millis(10);
+/// A lease that expires soon.
+pub const SHORT_LEASE: &str = "2500ms";
+/// A lease that does not expire during a test, however slow the machine.
+pub const LONG_LEASE: &str = "1m";
+const RELAY_TIMES: &str = "relay-direct 2s\nrelay-batch 50ms\nrelay-report 200ms\n";
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Events from number 2 on, told to whoever asks, with the word that it is current each few turns.
+/// A coordinator with a log of events, numbered from 2 on. It sends them to each follower, with a repeated event that
+/// says that the follower is up to date.
 #[derive(Default)]
-pub struct Events {
-    told: RefCell<Vec<Vec<u8>>>,
-    /// Nothing more is told, not even that.
+pub struct Coordinator {
+    events: RefCell<Vec<Vec<u8>>>,
+    /// If set, nothing is sent, not even the event that says that the follower is up to date.
     pub silent: Cell<bool>,
 }
 
-impl Events {
+impl Coordinator {
     /// Adds an event.
     pub fn tell(&self, kind: u8, payload: &[u8]) {
-        let number = self.told.borrow().len() as u64 + 2;
-        self.told.borrow_mut().push(event(number, kind, payload));
+        let number = self.events.borrow().len() as u64 + 2;
+        self.events.borrow_mut().push(event(number, kind, payload));
     }
 
-    /// Adds a purge of an object, now.
+    /// Adds a purge of an object with the current time.
     pub fn purge(&self, object: u64) {
         let ms = silverspindle::clock::now() / 1000;
         self.tell(3, &[object.to_be_bytes(), ms.to_be_bytes()].concat());
     }
 
-    /// The coordinator of one router; gives how many follow it.
+    /// Serves the followers of one listener; returns their current number.
     pub fn serve(self: &Rc<Self>, tasks: &Tasks, listener: Async<TcpListener>) -> Rc<Cell<usize>> {
         let (open, own, all) = (Rc::new(Cell::new(0)), self.clone(), tasks.clone());
         let counted = open.clone();
@@ -66,36 +68,37 @@
     async fn follow(&self, stream: Async<TcpStream>) -> io::Result<()> {
         let mut last = [0; 8];
         (&stream).read_exact(&mut last).await?;
-        let mut told = u64::from_be_bytes(last).max(1) as usize - 1;
+        let mut sent = u64::from_be_bytes(last).max(1) as usize - 1;
         let closed = async {
             let read = (&stream).read(&mut [0; 1]).await;
             read.map(drop)
         };
         let tell = async {
             loop {
-                let new: Vec<Vec<u8>> = self.told.borrow().iter().skip(told).cloned().collect();
+                let new: Vec<Vec<u8>> = self.events.borrow().iter().skip(sent).cloned().collect();
                 if !self.silent.get() {
-                    told += new.len();
+                    sent += new.len();
                     (&stream).write_all(&new.concat()).await?;
                     (&stream).write_all(&event(0, 0, b"")).await?;
                 }
-                Timer::after(10 * LOOK).await;
+                Timer::after(10 * POLL_INTERVAL).await;
             }
         };
         future::or(closed, tell).await
     }
 }
 
-/// A way to an address that can be cut.
-pub struct Gate {
-    /// Where it listens.
+/// A TCP proxy to an address whose connections can be cut.
+pub struct CuttableProxy {
+    /// Address that the proxy listens on.
     pub address: SocketAddr,
-    /// Closed where it is cut.
+    /// Channel that is closed while the proxy is cut.
     open: Rc<RefCell<async_channel::Receiver<()>>>,
+    /// Sending side of the channel; none while the proxy is cut.
     held: RefCell<Option<async_channel::Sender<()>>>,
 }
 
-impl Gate {
+impl CuttableProxy {
     pub fn to(tasks: &Tasks, target: SocketAddr) -> Self {
         let (listener, address) = listen();
         let open = Rc::new(RefCell::new(async_channel::bounded(1).1));
@@ -103,29 +106,31 @@
         let accept = async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let open = state.borrow().clone();
-                // Who comes while it is cut is turned away.
+                // Connections that arrive while the proxy is cut are closed at once.
                 if !open.is_closed() {
                     all.spawn(async move { drop(pass(stream, target, open).await) }).detach();
                 }
             }
         };
         tasks.spawn(accept).detach();
-        let gate = Self { address, open, held: RefCell::default() };
-        gate.mend();
-        gate
+        let proxy = Self { address, open, held: RefCell::default() };
+        proxy.mend();
+        proxy
     }
 
-    /// All connections end, and no new one is made.
+    /// Closes all connections and accepts no new one.
     pub fn cut(&self) {
         self.held.borrow_mut().take();
     }
 
+    /// Accepts connections again.
     pub fn mend(&self) {
         let (held, open) = async_channel::bounded(1);
         (*self.held.borrow_mut(), *self.open.borrow_mut()) = (Some(held), open);
     }
 }
 
+/// Copies bytes both ways between a connection and the target, until one of them or the channel is closed.
 async fn pass(one: Async<TcpStream>, target: SocketAddr, cut: async_channel::Receiver<()>) -> io::Result<()> {
     let other = Async::<TcpStream>::connect(target).await?;
     let there = futures_lite::io::copy(&one, &other);
@@ -137,40 +142,42 @@
     future::or(cut, future::or(there, back)).await.map(drop)
 }
 
-/// Where a router's records go.
-pub fn records_path(office: &Office, name: &str) -> PathBuf {
+/// Path of a router's record file.
+pub fn records_path(office: &KeyFolder, name: &str) -> PathBuf {
     office.0.join(format!("{name}.records.json"))
 }
 
-/// The operators' file of a router with this role.
-pub fn terms(office: &Office, name: &str, lease: &str, more: &str) -> silverspindle_conf::Conf {
+/// Operators' file of a router with this lease and further directives.
+pub fn relay_conf(office: &KeyFolder, name: &str, lease: &str, more: &str) -> silverspindle_conf::Conf {
     let records = records_path(office, name);
-    let file = format!("{TERMS}relay-within {lease}\nrelay-records-file '{}'\n{more}", records.display());
+    let file =
+        format!("{RELAY_TIMES}relay-within {lease}\nrelay-records-file '{}'\n{more}", records.display());
     office.conf(name, &file)
 }
 
-/// Lines of a record file; half a line at its end is left out.
+/// Lines of a record file, without an incomplete last line.
 pub fn records(path: &Path) -> Vec<Value> {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
     whole.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
 }
 
-/// Waits until a line is as wanted; gives all lines up to then.
-pub async fn until_record(path: &Path, good: impl Fn(&Value) -> bool) -> Vec<Value> {
+/// Waits until a line matches; returns all lines up to then.
+pub async fn wait_for_record(path: &Path, matches: impl Fn(&Value) -> bool) -> Vec<Value> {
     loop {
         let all = records(path);
-        if all.iter().any(&good) {
+        if all.iter().any(&matches) {
             return all;
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until the log is applied up to a number, and checks that all of it was, once and in order, from number 1.
-pub async fn until_applied(path: &Path, number: u64) -> Vec<Value> {
+/// Waits until the log is applied up to this number, and checks that every record from number 1 on was applied once
+/// and in order.
+pub async fn wait_for_applied(path: &Path, number: u64) -> Vec<Value> {
     let all =
-        until_record(path, |line| line["kind"] == "applied" && line["to"].as_u64() >= Some(number)).await;
+        wait_for_record(path, |line| line["kind"] == "applied" && line["to"].as_u64() >= Some(number)).await;
     let mut applied = 1;
     for line in all.iter().filter(|line| line["kind"] == "applied") {
         assert_eq!(line["from"], applied, "{all:?}");
@@ -179,44 +186,44 @@
     all
 }
 
-/// Waits until the latest word on the reading is this one.
-pub async fn until_mode(path: &Path, mode: &str) {
+/// Waits until the latest mode in the records is this one.
+pub async fn wait_for_mode(path: &Path, mode: &str) {
     loop {
         let all = records(path);
         if all.iter().rfind(|line| line["kind"] == "mode").is_some_and(|line| line["mode"] == mode) {
             return;
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until something holds.
-pub async fn until(good: impl Fn() -> bool) {
-    while !good() {
-        Timer::after(LOOK).await;
+/// Waits until a condition holds.
+pub async fn wait_until(holds: impl Fn() -> bool) {
+    while !holds() {
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// This thread's log lines.
+/// Captured log lines of this thread.
 #[derive(Clone, Default)]
-pub struct Lines(Arc<Mutex<Vec<u8>>>);
+pub struct CapturedLog(Arc<Mutex<Vec<u8>>>);
 
-impl Lines {
-    /// From now on, until the guard is dropped.
+impl CapturedLog {
+    /// Captures log lines until the guard is dropped.
     pub fn capture() -> (Self, tracing::subscriber::DefaultGuard) {
         let lines = Self::default();
         let subscriber = tracing_subscriber::fmt().with_writer(lines.clone()).with_ansi(false).finish();
         (lines, tracing::subscriber::set_default(subscriber))
     }
 
-    /// Lines with these words.
+    /// Captured lines that contain these words.
     pub fn with(&self, words: &str) -> Vec<String> {
         let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
         text.lines().filter(|line| line.contains(words)).map(str::to_owned).collect()
     }
 }
 
-impl io::Write for Lines {
+impl io::Write for CapturedLog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -227,7 +234,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Lines {
+impl<'a> MakeWriter<'a> for CapturedLog {
     type Writer = Self;
 
     fn make_writer(&'a self) -> Self {
@@ -235,18 +242,22 @@
     }
 }
 
-/// A source of this office before its coordinator.
-pub fn source(tasks: &Tasks, office: &Office, lease: &str, events: &Rc<Events>) -> SocketAddr {
-    let at = free();
-    let conf =
-        terms(office, "n0", lease, &format!("relay-role source\nexchange-listen {at}\nrelay-children 20\n"));
+/// Starts a source of this office that follows a coordinator with these events; returns its address for children.
+pub fn source(tasks: &Tasks, office: &KeyFolder, lease: &str, coordinator: &Rc<Coordinator>) -> SocketAddr {
+    let at = free_address();
+    let conf = relay_conf(
+        office,
+        "n0",
+        lease,
+        &format!("relay-role source\nexchange-listen {at}\nrelay-children 20\n"),
+    );
     let (_router, listener) = named(tasks, "n0", &[], conf);
-    events.serve(tasks, listener);
+    coordinator.serve(tasks, listener);
     at
 }
 
-/// The file of a router with these parents.
-pub fn router(office: &Office, name: &str, lease: &str, parents: &[(&str, SocketAddr)]) -> Conf {
+/// Operators' file of a router with these parents.
+pub fn router_conf(office: &KeyFolder, name: &str, lease: &str, parents: &[(&str, SocketAddr)]) -> Conf {
     let parents = parents.iter().map(|(name, at)| format!("relay-parent {name} {at}\n"));
-    terms(office, name, lease, &format!("relay-role router\n{}", parents.collect::<String>()))
+    relay_conf(office, name, lease, &format!("relay-role router\n{}", parents.collect::<String>()))
 }
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -1,4 +1,5 @@
-//! A single actor's surroundings: what peers share, the test as director, a scripted cache.
+//! Surroundings of a single actor under test: the state that actors share, the test in place of the director, and a
+//! scripted cache.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,13 +20,13 @@
 pub const PEER: MemberId = MemberId(1);
 pub const SOURCE: MemberId = MemberId(2);
 
-/// A client that waits, until it is gone.
+/// A client that waits for its answers until the test marks it as gone.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct WaitingClient {
     pub gone: Cell<bool>,
 }
 
-impl Port for Waiting {
+impl Port for WaitingClient {
     fn id(&self) -> u64 {
         0
     }
@@ -36,27 +37,28 @@
     }
 }
 
-pub struct World {
+/// Surroundings of the actor under test.
+pub struct ActorHarness {
     pub shared: Rc<Shared>,
-    pub ends: async_channel::Receiver<Message>,
+    pub messages: async_channel::Receiver<Message>,
     pub cache: Cache,
-    /// Who waits for the attempts made here.
-    pub client: Rc<Waiting>,
+    /// The client that waits for the attempts of this test.
+    pub client: Rc<WaitingClient>,
 }
 
-impl World {
+impl ActorHarness {
     pub fn new(tasks: &Tasks, descriptors: usize) -> Self {
         Self::with(tasks, descriptors, &settings())
     }
 
     pub fn with(tasks: &Tasks, descriptors: usize, options: &serde_json::Value) -> Self {
-        let (director, ends) = async_channel::bounded(1024);
+        let (director, messages) = async_channel::bounded(1024);
         let site = Rc::new(SiteSettings::parse(options.as_object().unwrap()));
         let board = Rc::new(Board::default());
         [PEER, SOURCE].into_iter().for_each(|id| board.set_ready(id, true));
         let descriptors = Descriptors::new(descriptors);
         let shared = Rc::new(Shared { site, board, descriptors, director, tasks: tasks.clone() });
-        Self { shared, ends, cache: Cache::start(tasks), client: Rc::default() }
+        Self { shared, messages, cache: Cache::start(tasks), client: Rc::default() }
     }
 
     pub fn peer(&self) -> async_channel::Sender<Order> {
@@ -101,13 +103,13 @@
         })
     }
 
-    /// A front before the test as director, under this drain.
+    /// A front that hands its requests to the test, with this drain state and its address.
     pub async fn front(&self, tasks: &Tasks, drain: &Rc<RefCell<Drain>>) -> (Rc<Front>, SocketAddr) {
         let (listener, address) = listen();
         (self.front_at(tasks, drain, listener), address)
     }
 
-    /// The same, behind a listener of the test's own.
+    /// As [`Self::front`], with a listener of the test.
     pub fn front_at(
         &self,
         tasks: &Tasks,
@@ -120,10 +122,10 @@
         front
     }
 
-    /// The next request that the front hands on.
+    /// The next request that the front passes on.
     pub async fn request(&self) -> (Rc<dyn Port>, i32, Call) {
         loop {
-            match self.ends.recv().await.unwrap() {
+            match self.messages.recv().await.unwrap() {
                 Message::Request { port, seq, call } => return (port, seq, call),
                 Message::Left { .. } => {}
                 other => panic!("{other:?}"),
@@ -132,7 +134,7 @@
     }
 
     pub async fn end(&self) -> (u64, Status) {
-        match self.ends.recv().await.unwrap() {
+        match self.messages.recv().await.unwrap() {
             Message::Ended(end) => (end.ticket, end.status),
             other => panic!("{other:?}"),
         }
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -11,12 +11,12 @@
 
 use async_io::{Async, Timer};
 use bytes::Bytes;
-use common::world::World;
+use common::world::ActorHarness;
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use silverspindle::clock;
-use silverspindle::drain::{Drain, GRACE, LINGER};
-use silverspindle::framing::Messages;
+use silverspindle::drain::{ARRIVAL_WINDOW, Drain, GRACE};
+use silverspindle::framing::MessageReader;
 use silverspindle::front::MOST_OPEN;
 use silverspindle::thrift;
 use silverspindle::traffic::{Message, Verdict};
@@ -40,12 +40,12 @@
     drain.borrow_mut().drain(clock::now() - 10 * GRACE);
 }
 
-fn answers(stream: &Async<TcpStream>) -> Messages<&Async<TcpStream>> {
+fn answers(stream: &Async<TcpStream>) -> MessageReader<&Async<TcpStream>> {
     let measure: silverspindle::framing::Measure = |b| match b.first_chunk::<4>() {
         Some(length) => Ok(4 + u32::from_be_bytes(*length) as usize),
         None => Ok(4),
     };
-    Messages::new(stream, measure, 4096)
+    MessageReader::new(stream, measure, 4096)
 }
 
 /// Lets all tasks run until the condition holds.
@@ -60,20 +60,20 @@
 #[test]
 fn a_request_in_the_socket_is_answered_before_the_close() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         let client = Async::<TcpStream>::connect(address).await.unwrap();
         let mut read = answers(&client);
         (&client).write_all(&serve(1, &page(RID), b"")).await.unwrap();
         let (port, seq, _) = world.request().await;
         port.answer(seq, Verdict::Served(Bytes::from_static(b"a")));
-        assert_eq!(read.next().await.unwrap().unwrap(), served(1, b"a"));
+        assert_eq!(read.next().await.unwrap().unwrap(), served_answer(1, b"a"));
         drain_long_ago(&drain);
         // At the same time a close is asked for and a request lies in the socket.
         client.get_ref().write_all(&serve(2, &page(OTHER), b"")).unwrap();
         front.let_go();
         let answer = read.next().await.unwrap().expect("an answer before the end");
-        assert!(advice(&answer, 2).is_some(), "refused, so long after the drain");
+        assert!(backoff_advice(&answer, 2).is_some(), "refused, so long after the drain");
         assert_eq!(read.next().await.unwrap(), None, "then it closes");
     });
 }
@@ -83,7 +83,7 @@
 #[test]
 fn requests_after_the_shutdown_are_discarded_without_a_reset() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         let client = Async::<TcpStream>::connect(address).await.unwrap();
         (&client).write_all(&serve(1, &page(RID), b"")).await.unwrap();
@@ -101,11 +101,11 @@
         }
         let (mut all, mut client) = (Vec::new(), &client);
         client.read_to_end(&mut all).await.expect("an end, no reset");
-        assert_eq!(all, served(1, &[7; 100_000]));
+        assert_eq!(all, served_answer(1, &[7; 100_000]));
         client.get_ref().shutdown(Shutdown::Both).unwrap();
         front.stop_accepting();
         until(|| front.settled()).await;
-        while let Ok(message) = world.ends.try_recv() {
+        while let Ok(message) = world.messages.try_recv() {
             assert!(matches!(message, Message::Left { .. }), "sent on after the shutdown: {message:?}");
         }
     });
@@ -117,7 +117,7 @@
 #[test]
 fn half_a_message_behind_an_open_request_ends_only_its_own_connection() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (_front, address) = world.front(tasks, &drain).await;
         let half = Client::connect(tasks, address).await;
         half.send(&serve(1, &page(RID), b"")).await;
@@ -129,7 +129,7 @@
         other.send(&serve(1, &page(THIRD), b"")).await;
         let (port, seq, _) = world.request().await;
         port.answer(seq, Verdict::Failed);
-        assert_eq!(other.next().await.unwrap(), thrift::broken(1));
+        assert_eq!(other.next().await.unwrap(), thrift::encode_broken(1));
     });
 }
 
@@ -137,10 +137,10 @@
 #[test]
 fn a_closed_connection_waits_for_its_client_for_a_bounded_time() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
-        assert!(client.well(1).await);
+        assert!(client.is_well(1).await);
         drain_long_ago(&drain);
         front.let_go();
         assert_eq!(client.next().await, None);
@@ -154,18 +154,18 @@
 #[test]
 fn the_exit_abandons_closed_connections_before_the_kill() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
-        let drain = Rc::new(RefCell::new(Drain::new().with_longest(0)));
+        let world = ActorHarness::new(tasks, 9);
+        let drain = Rc::new(RefCell::new(Drain::new().with_longest_deadline(0)));
         drain.borrow_mut().started();
         let (front, address) = world.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
-        assert!(client.well(1).await);
+        assert!(client.is_well(1).await);
         drain_long_ago(&drain);
         front.let_go();
         assert_eq!(client.next().await, None);
         front.stop_accepting();
         // SIGTERM came long enough ago for SIGKILL to be due.
-        drain.borrow_mut().end(clock::now() - 2 * LINGER);
+        drain.borrow_mut().end(clock::now() - 2 * ARRIVAL_WINDOW);
         let usual = async {
             Timer::after(Duration::from_secs(1)).await;
             panic!("waits for the client")
@@ -184,11 +184,11 @@
 #[test]
 fn the_exit_waits_for_a_request_that_waits_for_the_director() {
     run(async |tasks| {
-        let mut world = World::new(tasks, 9);
+        let mut world = ActorHarness::new(tasks, 9);
         let (director, ends) = async_channel::bounded(1);
         director.try_send(Message::Limits).unwrap();
         let shared = Rc::get_mut(&mut world.shared).unwrap();
-        (shared.director, world.ends) = (director, ends);
+        (shared.director, world.messages) = (director, ends);
         let drain = drain();
         let (front, address) = world.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
@@ -198,17 +198,17 @@
         front.stop_accepting();
         front.let_go();
         // The director owes no answer and none waits to be written, but the request is not finished.
-        until(|| !world.ends.is_empty()).await;
+        until(|| !world.messages.is_empty()).await;
         for _ in 0..100 {
             future::yield_now().await;
         }
         drain.borrow_mut().end(clock::now());
         assert!(front.flushed() && !front.settled());
         assert!(!drain.borrow().may_exit(clock::now(), 0, front.settled()));
-        assert!(matches!(world.ends.recv().await.unwrap(), Message::Limits));
+        assert!(matches!(world.messages.recv().await.unwrap(), Message::Limits));
         let (port, seq, _) = world.request().await;
         port.answer(seq, Verdict::Failed);
-        assert_eq!(client.next().await.unwrap(), thrift::broken(1));
+        assert_eq!(client.next().await.unwrap(), thrift::encode_broken(1));
         assert_eq!(client.next().await, None);
         until(|| front.settled()).await;
     });
@@ -219,7 +219,7 @@
 #[test]
 fn the_exit_waits_for_connections_in_the_accept_queue() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         future::yield_now().await;
         drain_long_ago(&drain);
@@ -236,7 +236,7 @@
         let client = Async::new(client).unwrap();
         let mut all = Vec::new();
         (&client).read_to_end(&mut all).await.unwrap();
-        assert_eq!(all, thrift::broken(1));
+        assert_eq!(all, thrift::encode_broken(1));
         drop(client);
         until(|| front.settled()).await;
         assert!(TcpStream::connect(address).is_err(), "no connection is accepted afterwards");
@@ -263,7 +263,7 @@
     const LONGEST_SEGMENT: usize = 65_536;
     let unknown = "x".repeat(60_000);
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (listener, address) = listen();
         SockRef::from(&listener).set_send_buffer_size(SMALL_BUFFER).unwrap();
         let buffer = SockRef::from(&listener).send_buffer_size().unwrap();
@@ -273,12 +273,12 @@
         let mut replies = Vec::new();
         for seq in 1..=LONG_REPLIES {
             (&client).write_all(&call(1, &unknown, seq, &[0])).await.unwrap();
-            replies.extend(thrift::unknown_method(&unknown, seq));
+            replies.extend(thrift::encode_unknown_method(&unknown, seq));
         }
         assert!(replies.len() > buffers + 2 * LONGEST_SEGMENT, "{} bytes, {buffers}", replies.len());
         let well = LONG_REPLIES + 1;
         (&client).write_all(&call(1, "isWell", well, &[2, 0, 1, 0, 0])).await.unwrap();
-        replies.extend(thrift::answer("isWell", well, 0, &[], true).concat());
+        replies.extend(thrift::encode_answer("isWell", well, 0, &[], true).concat());
         // This request is read last, so everything before it has been read; it is dropped, so that it owes no answer.
         (&client).write_all(&serve(well + 1, &page(RID), b"")).await.unwrap();
         let (port, ..) = world.request().await;
@@ -304,7 +304,7 @@
 #[test]
 fn a_client_that_left_is_detected_before_its_reader_runs() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (_front, address) = world.front(tasks, &drain).await;
         let leave: [fn(&TcpStream); 3] = [
             |s| s.shutdown(Shutdown::Write).unwrap(),
@@ -354,8 +354,8 @@
             let next = || future::or(one.next(), two.next());
             let (_, line) = next().await;
             // The client leaves and the cache fails at the same time: the error is read together with the client's end.
-            client.hang_up();
-            let fault = silverspindle::resp::command(&[RID.as_bytes(), b"FAULT", b"-", b""]);
+            client.shutdown_write();
+            let fault = silverspindle::resp::encode_array(&[RID.as_bytes(), b"FAULT", b"-", b""]);
             line.get_ref().write_all(&fault).unwrap();
             let other = Client::connect(tasks, router.address).await;
             other.send(&serve(1, &page(OTHER), b"")).await;
@@ -390,7 +390,7 @@
         let (want, line) = cache.next().await;
         assert_eq!(want[1], OTHER, "no attempt for a client that had gone");
         reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"b"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"b"));
         let mut rest = Vec::new();
         let _ = flood.read_to_end(&mut rest);
     });
@@ -402,7 +402,7 @@
 fn idle_clients_block_neither_the_coordinator_nor_new_clients() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
-        let (router, coordinator) = small_router(tasks, &[cache.address], 64);
+        let (router, coordinator) = router_with_sockets(tasks, &[cache.address], 64);
         let address = coordinator.get_ref().local_addr().unwrap();
         drop(coordinator.accept().await.unwrap());
         drop(coordinator);
@@ -421,7 +421,7 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, line) = cache.next().await;
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         let coordinator = loop {
             match Async::<std::net::TcpListener>::bind(address) {
                 Ok(listener) => break listener,
@@ -440,7 +440,7 @@
 #[test]
 fn a_client_is_not_cut_off_for_an_answer_that_has_just_become_ready() {
     run(async |tasks| {
-        let (world, drain) = (World::new(tasks, 9), drain());
+        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
         let (front, address) = world.front(tasks, &drain).await;
         let client = Async::<TcpStream>::connect(address).await.unwrap();
         let mut read = answers(&client);
@@ -450,7 +450,7 @@
         port.answer(seq, Verdict::Served(Bytes::from_static(b"late")));
         // Before the writer runs.
         front.let_go();
-        assert_eq!(read.next().await.unwrap().expect("an answer"), served(1, b"late"));
+        assert_eq!(read.next().await.unwrap().expect("an answer"), served_answer(1, b"late"));
         assert_eq!(read.next().await.unwrap(), None, "then it closes");
     });
 }
