--- a/silverspindle/src/copies.rs
+++ b/silverspindle/src/copies.rs
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use bitternhold::{EVERY_GROUP, Micros};
+use bitternhold::{ALL_GROUPS, Micros};
 use bytes::Bytes;
 
 use crate::clock::Stamp;
-use crate::feed::Purged;
+use crate::feed::PurgeTarget;
 
 /// Time for which a purge is remembered after it was received, in microseconds. It is applied to answers that
 /// were in flight when it came.
@@ -68,10 +68,10 @@
     }
 
     /// Whether a purge of the time `at` applies to it; `object` is the copy's own object.
-    pub fn falls_to(&self, object: u64, what: Purged, at: Stamp) -> bool {
+    pub fn falls_to(&self, object: u64, what: PurgeTarget, at: Stamp) -> bool {
         let named = match what {
-            Purged::Object(key) => key == object,
-            Purged::Group(group) => group == self.group || group == EVERY_GROUP,
+            PurgeTarget::Object(key) => key == object,
+            PurgeTarget::Group(group) => group == self.group || group == ALL_GROUPS,
         };
         named && self.stamp <= at
     }
@@ -95,7 +95,7 @@
     /// Number of uses so far.
     uses: u64,
     /// Recent purges: the time of the purge, and when it was received.
-    purges: BTreeMap<Purged, (Stamp, Micros)>,
+    purges: BTreeMap<PurgeTarget, (Stamp, Micros)>,
     /// Rate of a single transfer, in bytes per second.
     flow: f64,
     /// Rate of all transfers together, in bytes per second.
@@ -153,7 +153,7 @@
 
     /// Whether a copy of this part that the origin issued at this time is covered by a remembered purge.
     pub fn is_purged(&self, key: &Key, group: u64, stamp: Stamp) -> bool {
-        let purged = [Purged::Object(key.0), Purged::Group(group), Purged::Group(EVERY_GROUP)];
+        let purged = [PurgeTarget::Object(key.0), PurgeTarget::Group(group), PurgeTarget::Group(ALL_GROUPS)];
         purged.iter().filter_map(|what| self.purges.get(what)).any(|(at, _)| stamp <= *at)
     }
 
@@ -179,12 +179,12 @@
     }
 
     /// Drops the copies that a purge applies to, and remembers the purge for answers that arrive later.
-    pub fn purge(&mut self, now: Micros, what: Purged, at: Stamp) {
+    pub fn purge(&mut self, now: Micros, what: PurgeTarget, at: Stamp) {
         self.purges.retain(|_, (_, told)| now.saturating_sub(*told) < PURGE_KEPT);
         let slot = self.purges.entry(what).or_insert((at, now));
         *slot = (at.max(slot.0), now);
         let gone: Vec<Key> = match what {
-            Purged::Object(object) => {
+            PurgeTarget::Object(object) => {
                 let parts = (object, 0, 0)..=(object, u64::MAX, usize::MAX);
                 self.copies
                     .range(parts)
@@ -192,7 +192,7 @@
                     .map(|(key, _)| *key)
                     .collect()
             }
-            Purged::Group(_) => self
+            PurgeTarget::Group(_) => self
                 .copies
                 .iter()
                 .filter(|(key, c)| c.falls_to(key.0, what, at))
--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -16,8 +16,8 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use bitternhold::{
-    Action, Event, FillMode, Keep, Lifecycle, ListKind, Member, MemberId, Micros, Own, Request, RequestId,
-    Settings, Status,
+    Action, Event, FillMode, Keep, Lifecycle, ListKind, Member, MemberId, Micros, OwnCopy, Request,
+    RequestId, Settings, Status,
 };
 use futures_lite::future;
 use silverspindle_knowledge::Item;
@@ -25,7 +25,7 @@
 use crate::clock::{self, Stamp};
 use crate::copies::{Copies, Copy};
 use crate::counters::{Counters, RefusalReason};
-use crate::feed::{Listed, News, Purged};
+use crate::feed::{ListEntry, PurgeTarget, Update};
 use crate::knowledge::Knowledge;
 use crate::skew::Skew;
 use crate::traffic::{
@@ -124,7 +124,7 @@
 impl Director {
     /// Creates a director whose module uses this random seed.
     pub fn new(seed: u64, shared: Rc<Shared>, pending_answers: Rc<PendingAnswers>, copies: Copies) -> Self {
-        let settings = shared.catalogue.settings.clone();
+        let settings = shared.site.settings.clone();
         let all = shared.clone();
         Self {
             start_peer: Box::new(move |id, address| Peer::start(id, address, &all)),
@@ -190,7 +190,7 @@
     }
 
     /// Applies changed list entries: to the peer actors and to the module.
-    fn act_by(&mut self, changed: Vec<Listed>) {
+    fn act_by(&mut self, changed: Vec<ListEntry>) {
         if changed.is_empty() {
             return;
         }
@@ -210,7 +210,7 @@
             let due = self.next_timer();
             let wake = async {
                 match due {
-                    Some(at) => clock::at(at).await,
+                    Some(at) => clock::timer_at(at).await,
                     None => Timer::never().await,
                 };
                 Some(Next::Due)
@@ -240,13 +240,13 @@
 
     /// Handles an event of the coordinator. `whole` is the kind under which a complete list is passed to the
     /// module: read back from disk at the start, or received.
-    pub fn news(&mut self, news: News, whole: ListKind) {
+    pub fn news(&mut self, news: Update, whole: ListKind) {
         match news {
-            News::Nothing => {
+            Update::UpToDate => {
                 self.knowledge.iter_mut().for_each(Knowledge::heard);
                 self.review();
             }
-            News::Members { complete, mut members } => {
+            Update::Members { complete, mut members } => {
                 let told: Vec<Member> = members.iter().map(|m| m.member.clone()).collect();
                 self.shared.state.note_members(complete, &told);
                 self.knowledge.iter_mut().for_each(|k| k.listed(complete, &members));
@@ -263,7 +263,7 @@
                 self.event(Event::Members { kind: if complete { whole } else { ListKind::Delta }, members });
                 self.review();
             }
-            News::Purged { what, at } => {
+            Update::Purged { what, at } => {
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
                 self.purged(what, at);
             }
@@ -271,15 +271,15 @@
     }
 
     /// Applies a purge to the own copies and the attempts not yet written, and passes it to the module.
-    fn purged(&mut self, what: Purged, at: Stamp) {
+    fn purged(&mut self, what: PurgeTarget, at: Stamp) {
         let now = self.now();
-        let keep = self.settings.purge_done + self.settings.purge_grace;
+        let keep = self.settings.purge_complete_within + self.settings.purge_grace;
         self.shared.state.purged(now, what, keep);
         self.copies.purge(now, what, at);
         self.drop_offered(what, at);
         let (object, group) = match what {
-            Purged::Object(key) => (Some(format!("{key:016x}")), 0),
-            Purged::Group(group) => (None, group),
+            PurgeTarget::Object(key) => (Some(format!("{key:016x}")), 0),
+            PurgeTarget::Group(group) => (None, group),
         };
         self.event(Event::Purged { object, group, age: self.skew.purge_age(now, at) });
     }
@@ -293,7 +293,7 @@
     }
 
     /// Applies a list entry: starts, updates or retires the member's actor.
-    fn listed(&mut self, m: &Listed) {
+    fn listed(&mut self, m: &ListEntry) {
         let id = m.member.id;
         if m.member.lifecycle == Lifecycle::Gone {
             return self.gone(id);
@@ -348,7 +348,7 @@
             }
             Message::PublishLimits => {
                 let members = self.module.members_report(self.now());
-                let limits = members.into_iter().map(|m| (m.id, (m.limit, m.aside > 0)));
+                let limits = members.into_iter().map(|m| (m.id, (m.limit, m.quarantine > 0)));
                 *self.shared.state.limits() = limits.collect();
             }
             Message::Probed { member, status, elapsed, load } => {
@@ -378,10 +378,10 @@
         self.by_client.insert((client.id(), seq), id);
         let now = self.now();
         let copy = self.offered_copy(now, &call);
-        let own = copy.as_ref().map(|copy| Own {
+        let own = copy.as_ref().map(|copy| OwnCopy {
             age: self.skew.copy_age(now, copy.stamp),
-            unseen: now.saturating_sub(copy.seen()),
-            wait: self.copies.wait(now, copy.bytes(call.holds(&copy.tag))),
+            since_cache_hit: now.saturating_sub(copy.seen()),
+            delivery_time: self.copies.wait(now, copy.bytes(call.holds(&copy.tag))),
         });
         let account = Account::new(self.settings.classes.get(call.class));
         let (out, closed) = (Vec::new(), false);
@@ -390,7 +390,7 @@
         self.pending_answers.set(self.pending_answers.get() + 1);
         self.wake(call.deadline + LAST_WORD, Due::Request(id));
         self.event(Event::Request(Request {
-            own,
+            own_copy: own,
             id,
             class: call.class,
             object: call.object.to_ascii_lowercase(),
@@ -452,7 +452,7 @@
     /// Carries out an action of the module.
     fn act(&mut self, action: Action) {
         match action {
-            Action::Look { id, member, until } => {
+            Action::Lookup { id, member, until } => {
                 let (keep, mode) = (Keep::Pass, FillMode::default());
                 self.send(id, member, until, FetchOptions { source: None, keep, max_age: None, mode });
             }
@@ -472,7 +472,7 @@
                 // That the copy is lost does not prove that no attempt has run, so the request is not refused
                 // here: the module decides again without the copy.
                 let served = self.serve_own_copy(id);
-                self.backlog.push_back(Event::OwnCopy { id, served });
+                self.backlog.push_back(Event::OwnCopyResult { id, served });
             }
             Action::Fail { id } => self.answer(id, Verdict::Failed),
             Action::Timer { delay, token } => self.wake(self.now() + delay, Due::Module(token)),
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -1,11 +1,11 @@
 //! How the director handles the feed: it applies updates in order, acknowledges what it has applied, and
 //! treats all older copies as possibly purged while the feed's lease has run out.
 
-use bitternhold::{EVERY_GROUP, Event, ListKind, Micros};
+use bitternhold::{ALL_GROUPS, Event, ListKind, Micros};
 
 use super::Director;
 use crate::clock::Stamp;
-use crate::feed::Purged;
+use crate::feed::PurgeTarget;
 use crate::steady::steady;
 use crate::traffic::Notification;
 
@@ -19,7 +19,7 @@
         match notice {
             Notification::Update(news) => self.news(news, ListKind::Full),
             Notification::PurgedBefore(at) => {
-                let what = Purged::Group(EVERY_GROUP);
+                let what = PurgeTarget::Group(ALL_GROUPS);
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
                 self.purged(what, at);
             }
@@ -46,7 +46,7 @@
         if self.told_stale.is_none_or(|told| now >= told + TELL_STALE) {
             self.told_stale = Some(now);
             let age = oldest.saturating_sub(TELL_STALE);
-            self.backlog.push_back(Event::Purged { object: None, group: EVERY_GROUP, age });
+            self.backlog.push_back(Event::Purged { object: None, group: ALL_GROUPS, age });
         }
     }
 }
--- a/silverspindle/src/knowledge/mod.rs
+++ b/silverspindle/src/knowledge/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use bitternhold::{
-    self as module, EVERY_GROUP, Inherited, InheritedMember, InheritedPace, MemberId, MemberReport, Micros,
+    self as module, ALL_GROUPS, Inherited, InheritedLimit, InheritedMember, MemberId, MemberReport, Micros,
     Settings,
 };
 use silverspindle_conf::HalfLives;
@@ -15,7 +15,7 @@
 use silverspindle_knowledge::{Aspect, Ids, InstanceId, Item, Lifecycle, Source, Subject, Value};
 
 use crate::clock::{self, Stamp};
-use crate::feed::{Listed, Purged};
+use crate::feed::{ListEntry, PurgeTarget};
 
 pub mod exchange;
 pub mod keys;
@@ -53,7 +53,7 @@
 #[derive(Debug, Default)]
 pub struct Learnt {
     /// Purges that the router had not heard of.
-    pub purges: Vec<(Purged, Stamp)>,
+    pub purges: Vec<(PurgeTarget, Stamp)>,
     /// What the module starts from.
     pub inherited: Inherited,
     /// Items refused as out of their ranges.
@@ -70,7 +70,7 @@
     store: Store,
     list: OwnList,
     /// The own list's entries, to be told again with another state.
-    entries: BTreeMap<MemberId, Listed>,
+    entries: BTreeMap<MemberId, ListEntry>,
     /// What the director acts by, where that is not the own list's word.
     overruled: BTreeMap<MemberId, list::Listed>,
     /// Purges that the director knows of.
@@ -85,11 +85,11 @@
     }
 }
 
-fn named(what: Purged) -> silverspindle_knowledge::Purged {
+fn named(what: PurgeTarget) -> silverspindle_knowledge::Purged {
     match what {
-        Purged::Object(key) => silverspindle_knowledge::Purged::Object(key),
-        Purged::Group(EVERY_GROUP) => silverspindle_knowledge::Purged::All,
-        Purged::Group(group) => silverspindle_knowledge::Purged::Group(group),
+        PurgeTarget::Object(key) => silverspindle_knowledge::Purged::Object(key),
+        PurgeTarget::Group(ALL_GROUPS) => silverspindle_knowledge::Purged::All,
+        PurgeTarget::Group(group) => silverspindle_knowledge::Purged::Group(group),
     }
 }
 
@@ -100,7 +100,7 @@
         Self {
             me,
             steady: Steady::start(),
-            store: Store::new(me, conf, settings.purge_done + settings.purge_grace),
+            store: Store::new(me, conf, settings.purge_complete_within + settings.purge_grace),
             list: OwnList::default(),
             entries: BTreeMap::new(),
             overruled: BTreeMap::new(),
@@ -119,7 +119,7 @@
     }
 
     /// The coordinator's word on members, as the director has taken it in.
-    pub fn listed(&mut self, complete: bool, members: &[Listed]) {
+    pub fn listed(&mut self, complete: bool, members: &[ListEntry]) {
         if complete {
             self.entries.clear();
             self.overruled.clear();
@@ -129,7 +129,7 @@
             self.entries.insert(m.member.id, m.clone());
         }
         self.entries.retain(|_, m| m.member.lifecycle != module::Lifecycle::Gone);
-        let entry = |m: &Listed| {
+        let entry = |m: &ListEntry| {
             let state = list::Listed { lifecycle: lifecycle(m.member.lifecycle), started: m.member.started };
             (m.member.id.0, state)
         };
@@ -137,7 +137,7 @@
     }
 
     /// The coordinator's word on a purge.
-    pub fn purged(&mut self, what: Purged, at: Stamp) {
+    pub fn purged(&mut self, what: PurgeTarget, at: Stamp) {
         let (what, at) = (named(what), at.as_micros());
         self.store.purged(clock::now(), what, at);
         let slot = self.purges.entry(what).or_insert(at);
@@ -149,7 +149,7 @@
 
     /// Entries whose state is another than what the director acts by: others' word came in, or has been
     /// overtaken by the own list. A member that is gone by hearsay is withheld like a draining one, and kept.
-    pub fn review(&mut self) -> Vec<Listed> {
+    pub fn review(&mut self) -> Vec<ListEntry> {
         let effective = self.list.effective(self.store.hearsay());
         let mut changed = Vec::new();
         for (id, entry) in &self.entries {
@@ -178,14 +178,23 @@
     /// All that can be told, with what the module saw up to now.
     pub fn give(&mut self, report: module::Report) -> Vec<Item> {
         let (now, up) = (self.steady.now(), self.steady.up());
-        let met: u32 = report.members.iter().fold(0, |all, m| all.saturating_add(m.met));
+        let met: u32 = report.members.iter().fold(0, |all, m| all.saturating_add(m.attempts_ended));
         if let Some(current) = self.list.current() {
             for (id, list::Listed { lifecycle, started }) in self.list.entries().collect::<Vec<_>>() {
                 let value = Value::Listed { lifecycle, started };
                 self.store.observe(current, up, Subject::Member(id, Aspect::Listed), 1, value);
             }
         }
-        for MemberReport { id, started, met, ill, aside, limit, lateness } in report.members {
+        for MemberReport {
+            id,
+            started,
+            attempts_ended: met,
+            fault_rate: ill,
+            quarantine: aside,
+            limit,
+            late_rate: lateness,
+        } in report.members
+        {
             let (ill, limit, lateness) = (ill as f32, limit as f32, lateness as f32);
             let health = Value::Health { started, ill: ill.clamp(0.0, 1.0), aside };
             self.store.observe(now, up, Subject::Member(id.0, Aspect::Health), met, health);
@@ -201,7 +210,7 @@
             let lateness = lateness.map(|share| share.clamp(0.0, 1.0));
             self.store.observe(now, up, Subject::Fills, met, Value::Fills { limits, lateness });
         }
-        let [active, passive] = report.seen.map(Ids::new);
+        let [active, passive] = report.seen_ids.map(Ids::new);
         if !(active.is_empty() && passive.is_empty()) {
             self.store.observe(now, up, Subject::Filter, met, Value::Filter { active, passive });
         }
@@ -222,10 +231,10 @@
             }
             let at = Stamp::from_micros(at);
             match what {
-                silverspindle_knowledge::Purged::Object(key) => purges.push((Purged::Object(key), at)),
-                silverspindle_knowledge::Purged::Group(group) => purges.push((Purged::Group(group), at)),
+                silverspindle_knowledge::Purged::Object(key) => purges.push((PurgeTarget::Object(key), at)),
+                silverspindle_knowledge::Purged::Group(group) => purges.push((PurgeTarget::Group(group), at)),
                 silverspindle_knowledge::Purged::All => {
-                    purges.extend((0..GROUPS).map(|group| (Purged::Group(group), at)));
+                    purges.extend((0..GROUPS).map(|group| (PurgeTarget::Group(group), at)));
                 }
             }
         }
@@ -239,17 +248,17 @@
         let members = priors.members.into_iter().map(|m| InheritedMember {
             id: MemberId(m.id),
             started: started.get(&m.id).copied().unwrap_or_default(),
-            ill: m.ill,
-            ill_weight: m.health_weight,
-            aside: m.aside,
-            pace: InheritedPace { limit: m.limit, lateness: m.lateness, weight: m.pace_weight },
+            fault_rate: m.ill,
+            fault_rate_weight: m.health_weight,
+            quarantine: m.aside,
+            concurrency: InheritedLimit { limit: m.limit, late_rate: m.lateness, weight: m.pace_weight },
         });
         // A rate has no prior to weigh against: half a word is used whole, less is none.
         let warm_rate = priors.rates.filter(|(_, weight)| *weight >= 0.5).map_or([0.0; 2], |(r, _)| r);
         let fills = priors.fills.map_or_else(Default::default, |(limits, lateness, weight)| {
-            [0, 1].map(|i| InheritedPace { limit: limits[i], lateness: lateness[i], weight })
+            [0, 1].map(|i| InheritedLimit { limit: limits[i], late_rate: lateness[i], weight })
         });
-        let inherited = Inherited { members: members.collect(), fills, warm_rate, seen: priors.filter };
+        let inherited = Inherited { members: members.collect(), fills, warm_rate, seen_ids: priors.filter };
         Learnt { purges, inherited, refused }
     }
 }
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -77,7 +77,7 @@
         let listener = Async::new(shared_listener(config.listen)?)?;
         let management = config.management.map(Async::<TcpListener>::bind).transpose()?;
         let address = listener.get_ref().local_addr()?;
-        let catalogue = Rc::new(config.catalogue);
+        let site = Rc::new(config.site);
         let (mailbox, messages) = async_channel::bounded(director::MAILBOX_CAPACITY);
         let (tell, news) = async_channel::bounded(director::MAILBOX_CAPACITY);
         let exchanges = conf.exchange.as_ref().map_or(0, exchange::descriptors);
@@ -97,7 +97,7 @@
         }
         let descriptors = Descriptors::new(peers);
         let shared = Rc::new(Shared {
-            catalogue: catalogue.clone(),
+            site: site.clone(),
             state: state.clone(),
             descriptors: descriptors.clone(),
             director: mailbox.clone(),
@@ -106,17 +106,17 @@
         let pending_answers = Rc::new(PendingAnswers::default());
         let copies = Copies::new((config.memory / COPIES_PART).min(MOST_COPIES), config.flow, config.link);
         let on = conf.exchange.is_some() || conf.snapshot.is_some();
-        let knowledge = on.then(|| Knowledge::new(&config.name, conf.half_lives, &catalogue.settings));
+        let knowledge = on.then(|| Knowledge::new(&config.name, conf.half_lives, &site.settings));
         let who = knowledge.as_ref().map(|k| (k.me, k.steady));
         let mut director =
             Director::new(config.seed, shared, pending_answers.clone(), copies).with_knowledge(knowledge);
         let (last, known) = config.known;
-        let cleared = catalogue.settings.purge_done + catalogue.settings.purge_grace;
+        let cleared = site.settings.purge_complete_within + site.settings.purge_grace;
         let of_relays = conf.relay.as_ref().map(|_| known.clone());
-        known.into_iter().for_each(|event| director.news(event.news, ListKind::Cached));
+        known.into_iter().for_each(|event| director.news(event.update, ListKind::Cached));
         if let Some((snapshot, (me, _))) = conf.snapshot.clone().zip(who) {
             let file = snapshots::path(&snapshot.directory, me.instance);
-            match snapshots::read(&file, me.instance, snapshot.most) {
+            match snapshots::read(&file, me.instance, snapshot.max_size) {
                 Ok(None) => tracing::info!("no snapshot yet"),
                 Ok(Some((away, items))) => {
                     tracing::info!("snapshot: {} items, away {} ms", items.len(), away / 1000);
@@ -138,10 +138,9 @@
             tasks.spawn(own.clone().watch()).detach();
             hub = Some(own);
         }
-        let longest = catalogue.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let drain = Rc::new(RefCell::new(Drain::new().with_longest(longest)));
-        let front =
-            Front::new(catalogue.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
+        let longest = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let drain = Rc::new(RefCell::new(Drain::new().with_longest_deadline(longest)));
+        let front = Front::new(site.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
         director.set_counters(front.counters());
         let agreed: Rc<RefCell<Option<agreement::Handle>>> = Rc::default();
         if let Some(terms) = conf.agreement.clone() {
@@ -155,19 +154,19 @@
             let yard = agreement::Yard {
                 board: state.clone(),
                 director: mailbox.clone(),
-                settings: catalogue.settings.clone(),
-                classes: catalogue.classes.clone(),
+                settings: site.settings.clone(),
+                classes: site.classes.clone(),
                 drain: drain.clone(),
                 nudge: front.nudger(),
                 owes: Rc::new(move || pending_answers.get() > 0 || !own.flushed()),
             };
             if terms.work.is_some() {
                 state.enable_orders();
-                drain.borrow_mut().alone(terms.work.is_some_and(|work| !work.hold));
+                drain.borrow_mut().set_alone(terms.work.is_some_and(|work| !work.hold));
             }
             if terms.rules.is_some() {
                 state.require_rules();
-                drain.borrow_mut().alone(true);
+                drain.borrow_mut().set_alone(true);
             }
             let (hub, state, all) = (hub.clone(), state.clone(), agreed.clone());
             let ready = move |handle: agreement::Handle| {
@@ -293,7 +292,7 @@
         }
         let mut said = clock::now();
         // The listener goes once nobody comes any more; what lies in its queue is taken, read and answered first.
-        let nobody = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::LINGER);
+        let nobody = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::ARRIVAL_WINDOW);
         while !self.drain.borrow().may_exit(clock::now(), self.pending_answers.get(), self.front.settled()) {
             if clock::now() >= nobody {
                 self.front.stop_accepting();
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -1,9 +1,10 @@
-//! A single actor's surroundings: what peers share, the test as director, a scripted cache.
+//! Surroundings of a single actor under test: the state that actors share, the test in place of the director, and a
+//! scripted cache.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use bitternhold::{FillMode, Keep, MemberId, Status};
 use bytes::Bytes;
 use silverspindle::clock;
@@ -20,13 +21,13 @@
 pub const PEER: MemberId = MemberId(1);
 pub const SOURCE: MemberId = MemberId(2);
 
-/// A client that waits, until it is gone.
+/// A client that waits for its answers until the test marks it as gone.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct WaitingClient {
     pub gone: Cell<bool>,
 }
 
-impl ClientHandle for Waiting {
+impl ClientHandle for WaitingClient {
     fn id(&self) -> u64 {
         0
     }
@@ -37,27 +38,28 @@
     }
 }
 
-pub struct World {
+/// Surroundings of the actor under test.
+pub struct ActorHarness {
     pub shared: Rc<Shared>,
-    pub ends: async_channel::Receiver<Message>,
+    pub messages: async_channel::Receiver<Message>,
     pub cache: Cache,
-    /// Who waits for the attempts made here.
-    pub client: Rc<Waiting>,
+    /// The client that waits for the attempts of this test.
+    pub client: Rc<WaitingClient>,
 }
 
-impl World {
+impl ActorHarness {
     pub fn new(tasks: &Tasks, descriptors: usize) -> Self {
         Self::with(tasks, descriptors, &settings())
     }
 
     pub fn with(tasks: &Tasks, descriptors: usize, options: &serde_json::Value) -> Self {
-        let (director, ends) = async_channel::bounded(1024);
-        let catalogue = Rc::new(Catalogue::read(options.as_object().unwrap()));
+        let (director, messages) = async_channel::bounded(1024);
+        let site = Rc::new(SiteSettings::parse(options.as_object().unwrap()));
         let state = Rc::new(RoutingState::default());
         [PEER, SOURCE].into_iter().for_each(|id| state.set_ready(id, true));
         let descriptors = Descriptors::new(descriptors);
-        let shared = Rc::new(Shared { catalogue, state, descriptors, director, tasks: tasks.clone() });
-        Self { shared, ends, cache: Cache::start(tasks), client: Rc::default() }
+        let shared = Rc::new(Shared { site, state, descriptors, director, tasks: tasks.clone() });
+        Self { shared, messages, cache: Cache::start(tasks), client: Rc::default() }
     }
 
     pub fn peer(&self) -> async_channel::Sender<Order> {
@@ -102,29 +104,29 @@
         })
     }
 
-    /// A front before the test as director, under this drain.
+    /// A front that hands its requests to the test, with this drain state and its address.
     pub async fn front(&self, tasks: &Tasks, drain: &Rc<RefCell<Drain>>) -> (Rc<Front>, SocketAddr) {
         let (listener, address) = listen();
         (self.front_at(tasks, drain, listener), address)
     }
 
-    /// The same, behind a listener of the test's own.
+    /// As [`Self::front`], with a listener of the test.
     pub fn front_at(
         &self,
         tasks: &Tasks,
         drain: &Rc<RefCell<Drain>>,
         listener: Async<TcpListener>,
     ) -> Rc<Front> {
-        let (catalogue, director) = (self.shared.catalogue.clone(), self.shared.director.clone());
-        let front = Front::new(catalogue, director, 192_000_000, 64, drain.clone());
+        let (site, director) = (self.shared.site.clone(), self.shared.director.clone());
+        let front = Front::new(site, director, 192_000_000, 64, drain.clone());
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
         front
     }
 
-    /// The next request that the front hands on.
+    /// The next request that the front passes on.
     pub async fn request(&self) -> (Rc<dyn ClientHandle>, i32, Call) {
         loop {
-            match self.ends.recv().await.unwrap() {
+            match self.messages.recv().await.unwrap() {
                 Message::Request { client, seq, call } => return (client, seq, call),
                 Message::Disconnected { .. } => {}
                 other => panic!("{other:?}"),
@@ -133,7 +135,7 @@
     }
 
     pub async fn end(&self) -> (u64, Status) {
-        match self.ends.recv().await.unwrap() {
+        match self.messages.recv().await.unwrap() {
             Message::Ended(end) => (end.ticket, end.status),
             other => panic!("{other:?}"),
         }
