--- a/silverspindle/src/copies.rs
+++ b/silverspindle/src/copies.rs
@@ -18,28 +18,28 @@
 
 /// Time for which a purge is remembered after it was received, in microseconds. It is applied to answers that
 /// were in flight when it came.
-const PURGE_KEPT: Micros = 30_000_000;
+const PURGE_RETENTION: Micros = 30_000_000;
 /// Memory counted for each copy besides its bytes, in bytes.
-const ENTRY: usize = 256;
+const ENTRY_OVERHEAD: usize = 256;
 /// An answer that the client's copy is current takes this part (the divisor) of the time that the copy's
 /// bytes would take on the link.
-const HOLDS_PART: usize = 20;
+const HELD_ANSWER_DIVISOR: usize = 20;
 
 /// Key of a copy: object, part and index of the class.
 pub type Key = (u64, u64, usize);
 
 /// Memory counted for a copy as long as anything refers to it.
 #[derive(Debug)]
-struct Booked {
+struct MemoryCharge {
     /// Bytes of all copies together.
-    all: Rc<Cell<usize>>,
+    total: Rc<Cell<usize>>,
     /// Bytes of this copy.
-    own: usize,
+    bytes: usize,
 }
 
-impl Drop for Booked {
+impl Drop for MemoryCharge {
     fn drop(&mut self) {
-        self.all.set(self.all.get() - self.own);
+        self.total.set(self.total.get() - self.bytes);
     }
 }
 
@@ -53,32 +53,32 @@
     /// When the origin issued it.
     pub stamp: Stamp,
     /// When a cache last answered with it or confirmed it.
-    seen: Cell<Micros>,
+    confirmed_at: Cell<Micros>,
     /// Group of the object.
     group: u64,
     /// Number of its last use, the key in [`Copies::order`].
     used: Cell<u64>,
-    _booked: Booked,
+    _charge: MemoryCharge,
 }
 
 impl Copy {
     /// When a cache last answered with it or confirmed it.
-    pub fn seen(&self) -> Micros {
-        self.seen.get()
+    pub fn confirmed_at(&self) -> Micros {
+        self.confirmed_at.get()
     }
 
     /// Whether a purge of the time `at` applies to it; `object` is the copy's own object.
-    pub fn falls_to(&self, object: u64, what: PurgeTarget, at: Stamp) -> bool {
-        let named = match what {
+    pub fn is_covered_by(&self, object: u64, what: PurgeTarget, at: Stamp) -> bool {
+        let matches = match what {
             PurgeTarget::Object(key) => key == object,
             PurgeTarget::Group(group) => group == self.group || group == ALL_GROUPS,
         };
-        named && self.stamp <= at
+        matches && self.stamp <= at
     }
 
     /// Bytes that an answer from it takes on the link. A client that already holds it gets no body.
-    pub fn bytes(&self, holds: bool) -> usize {
-        if holds { self.body.len() / HOLDS_PART } else { self.body.len() }
+    pub fn bytes(&self, client_holds_it: bool) -> usize {
+        if client_holds_it { self.body.len() / HELD_ANSWER_DIVISOR } else { self.body.len() }
     }
 }
 
@@ -86,69 +86,71 @@
 #[derive(Debug, Default)]
 pub struct Copies {
     /// Memory limit in bytes.
-    room: usize,
+    memory_limit: usize,
     /// Memory in use in bytes.
-    held: Rc<Cell<usize>>,
+    memory_used: Rc<Cell<usize>>,
     copies: BTreeMap<Key, Rc<Copy>>,
     /// Keys by the number of the last use, least recently used first.
-    order: BTreeMap<u64, Key>,
+    by_last_use: BTreeMap<u64, Key>,
     /// Number of uses so far.
-    uses: u64,
+    last_use: u64,
     /// Recent purges: the time of the purge, and when it was received.
     purges: BTreeMap<PurgeTarget, (Stamp, Micros)>,
     /// Rate of a single transfer, in bytes per second.
-    flow: f64,
+    flow_rate: f64,
     /// Rate of all transfers together, in bytes per second.
-    link: f64,
+    link_rate: f64,
     /// When the link will have sent everything booked on it.
-    free: Micros,
+    link_free_at: Micros,
 }
 
 impl Copies {
     /// An empty store with a memory limit of `room` bytes, on a link with these rates in bytes per second for
     /// a single transfer and for all together. Without these rates no copies are kept.
-    pub fn new(room: usize, flow: f64, link: f64) -> Self {
-        let room = if flow > 0.0 && link > 0.0 { room } else { 0 };
-        Self { room, flow, link, ..Self::default() }
+    pub fn new(memory_limit: usize, flow_rate: f64, link_rate: f64) -> Self {
+        let memory_limit = if flow_rate > 0.0 && link_rate > 0.0 { memory_limit } else { 0 };
+        Self { memory_limit, flow_rate, link_rate, ..Self::default() }
     }
 
     /// Changes the memory limit, in bytes. Copies beyond it are evicted, least recently used first.
-    pub fn set_room(&mut self, room: usize) {
-        if self.flow > 0.0 && self.link > 0.0 {
-            self.room = room;
+    pub fn set_memory_limit(&mut self, memory_limit: usize) {
+        if self.flow_rate > 0.0 && self.link_rate > 0.0 {
+            self.memory_limit = memory_limit;
         }
-        while self.held.get() > self.room && self.displace() {}
+        while self.memory_used.get() > self.memory_limit && self.evict() {}
     }
 
     /// Evicts the least recently used copy that no request refers to. Returns false if there is none.
-    fn displace(&mut self) -> bool {
-        let unheld = |key: &&Key| self.copies.get(key).is_some_and(|copy| Rc::strong_count(copy) == 1);
-        let Some(oldest) = self.order.values().find(unheld).copied() else { return false };
+    fn evict(&mut self) -> bool {
+        let is_unreferenced =
+            |key: &&Key| self.copies.get(key).is_some_and(|copy| Rc::strong_count(copy) == 1);
+        let Some(oldest) = self.by_last_use.values().find(is_unreferenced).copied() else { return false };
         self.remove(&oldest);
         true
     }
 
     /// Keeps the copy of an answer, unless it is too large, purged or older than the present one. The bytes
     /// are copied, because a slice would keep the whole read buffer alive.
-    pub fn keep(&mut self, now: Micros, key: Key, group: u64, tag: &[u8], stamp: Stamp, body: &[u8]) {
-        let size = body.len() + tag.len() + ENTRY;
-        let old = self.copies.get(&key).is_some_and(|c| c.stamp > stamp);
-        if size > self.room || old || self.is_purged(&key, group, stamp) {
+    pub fn store(&mut self, now: Micros, key: Key, group: u64, tag: &[u8], stamp: Stamp, body: &[u8]) {
+        let size = body.len() + tag.len() + ENTRY_OVERHEAD;
+        let is_outdated = self.copies.get(&key).is_some_and(|c| c.stamp > stamp);
+        if size > self.memory_limit || is_outdated || self.is_purged(&key, group, stamp) {
             return;
         }
         self.remove(&key);
-        while self.held.get() + size > self.room {
-            if !self.displace() {
+        while self.memory_used.get() + size > self.memory_limit {
+            if !self.evict() {
                 return;
             }
         }
-        self.held.set(self.held.get() + size);
-        self.uses += 1;
-        self.order.insert(self.uses, key);
+        self.memory_used.set(self.memory_used.get() + size);
+        self.last_use += 1;
+        self.by_last_use.insert(self.last_use, key);
         let [body, tag] = [body, tag].map(Bytes::copy_from_slice);
-        let (seen, used) = (Cell::new(now), Cell::new(self.uses));
-        let booked = Booked { all: self.held.clone(), own: size };
-        self.copies.insert(key, Rc::new(Copy { body, tag, stamp, seen, group, used, _booked: booked }));
+        let (confirmed_at, used) = (Cell::new(now), Cell::new(self.last_use));
+        let charge = MemoryCharge { total: self.memory_used.clone(), bytes: size };
+        self.copies
+            .insert(key, Rc::new(Copy { body, tag, stamp, confirmed_at, group, used, _charge: charge }));
     }
 
     /// Whether a copy of this part that the origin issued at this time is covered by a remembered purge.
@@ -158,9 +160,9 @@
     }
 
     /// Records that a cache has confirmed the copy with this tag as current.
-    pub fn confirm(&mut self, now: Micros, key: Key, tag: &[u8]) {
+    pub fn mark_confirmed(&mut self, now: Micros, key: Key, tag: &[u8]) {
         if let Some(copy) = self.copies.get(&key).filter(|c| c.tag == tag) {
-            copy.seen.set(now);
+            copy.confirmed_at.set(now);
         }
     }
 
@@ -170,52 +172,52 @@
     }
 
     /// Marks a copy as used, for the eviction order.
-    pub fn touch(&mut self, key: &Key) {
+    pub fn mark_used(&mut self, key: &Key) {
         if let Some(copy) = self.copies.get(key) {
-            self.uses += 1;
-            self.order.remove(&copy.used.replace(self.uses));
-            self.order.insert(self.uses, *key);
+            self.last_use += 1;
+            self.by_last_use.remove(&copy.used.replace(self.last_use));
+            self.by_last_use.insert(self.last_use, *key);
         }
     }
 
     /// Drops the copies that a purge applies to, and remembers the purge for answers that arrive later.
     pub fn purge(&mut self, now: Micros, what: PurgeTarget, at: Stamp) {
-        self.purges.retain(|_, (_, told)| now.saturating_sub(*told) < PURGE_KEPT);
-        let slot = self.purges.entry(what).or_insert((at, now));
-        *slot = (at.max(slot.0), now);
-        let gone: Vec<Key> = match what {
+        self.purges.retain(|_, (_, received)| now.saturating_sub(*received) < PURGE_RETENTION);
+        let newest = self.purges.entry(what).or_insert((at, now));
+        *newest = (at.max(newest.0), now);
+        let covered: Vec<Key> = match what {
             PurgeTarget::Object(object) => {
                 let parts = (object, 0, 0)..=(object, u64::MAX, usize::MAX);
                 self.copies
                     .range(parts)
-                    .filter(|(key, c)| c.falls_to(key.0, what, at))
+                    .filter(|(key, c)| c.is_covered_by(key.0, what, at))
                     .map(|(key, _)| *key)
                     .collect()
             }
             PurgeTarget::Group(_) => self
                 .copies
                 .iter()
-                .filter(|(key, c)| c.falls_to(key.0, what, at))
+                .filter(|(key, c)| c.is_covered_by(key.0, what, at))
                 .map(|(key, _)| *key)
                 .collect(),
         };
-        gone.iter().for_each(|key| self.remove(key));
+        covered.iter().for_each(|key| self.remove(key));
     }
 
     /// Time that this number of bytes would take now, behind those already booked on the link.
-    pub fn wait(&self, now: Micros, bytes: usize) -> Micros {
-        let micros = |rate: f64| (bytes as f64 / rate * 1e6) as Micros;
-        micros(self.flow).max(self.free.saturating_sub(now) + micros(self.link))
+    pub fn transfer_time(&self, now: Micros, bytes: usize) -> Micros {
+        let transfer_at = |rate: f64| (bytes as f64 / rate * 1e6) as Micros;
+        transfer_at(self.flow_rate).max(self.link_free_at.saturating_sub(now) + transfer_at(self.link_rate))
     }
 
     /// Books bytes that are sent on the link.
-    pub fn send(&mut self, now: Micros, bytes: usize) {
-        self.free = self.free.max(now) + (bytes as f64 / self.link * 1e6) as Micros;
+    pub fn book_transfer(&mut self, now: Micros, bytes: usize) {
+        self.link_free_at = self.link_free_at.max(now) + (bytes as f64 / self.link_rate * 1e6) as Micros;
     }
 
     fn remove(&mut self, key: &Key) {
         if let Some(copy) = self.copies.remove(key) {
-            self.order.remove(&copy.used.get());
+            self.by_last_use.remove(&copy.used.get());
         }
     }
 }
--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -29,8 +29,8 @@
 use crate::knowledge::Knowledge;
 use crate::skew::Skew;
 use crate::traffic::{
-    Account, Attempt, Call, ClientHandle, FetchOptions, Message, Notification, Refusal, SafeToRetry, Shared,
-    Verdict,
+    Attempt, AttemptHistory, Call, ClientHandle, FetchOptions, Message, Notification, Refusal, SafeToRetry,
+    Shared, Verdict,
 };
 use crate::upstream::{Order, Peer};
 use crate::withheld::Withheld;
@@ -38,41 +38,41 @@
 /// Capacity of the director's mailbox, in messages.
 pub const MAILBOX_CAPACITY: usize = 256;
 /// Maximum number of messages handled in a row before the timers are checked again.
-const BATCH: usize = 64;
+const MAX_MESSAGE_BATCH: usize = 64;
 /// Delay after a request's deadline at which the director itself fails a request that the module has left
 /// open, in microseconds. Normally the module gives the final answer when the attempts time out at the
 /// deadline.
-const LAST_WORD: Micros = 5_000;
+const FALLBACK_FAIL_DELAY: Micros = 5_000;
 
 /// A request that has no final answer yet, or still has attempts in flight.
-struct Open {
+struct OpenRequest {
     call: Rc<Call>,
-    came: Micros,
+    received_at: Micros,
     client: Rc<dyn ClientHandle>,
     seq: i32,
-    account: Account,
+    history: AttemptHistory,
     /// Tickets of its attempts in flight.
-    out: Vec<u64>,
+    in_flight: Vec<u64>,
     /// The router's own copy that was offered to the module for this request.
-    own: Option<Rc<Copy>>,
+    own_copy: Option<Rc<Copy>>,
     closed: bool,
 }
 
 /// An attempt in flight.
-struct Out {
+struct InFlight {
     id: RequestId,
     number: u32,
     member: MemberId,
     /// Mailbox of the peer actor that holds the attempt. By the time the attempt is given up, another actor
     /// may serve the member's id.
     peer: Sender<Order>,
-    sent: Micros,
+    sent_at: Micros,
     attempt: Rc<Attempt>,
 }
 
 /// What a timer is for.
 #[derive(Clone, Copy)]
-enum Due {
+enum TimerKind {
     /// A timer that the module set, with its token.
     Module(u64),
     /// The timeout of the attempt with this ticket.
@@ -83,7 +83,7 @@
 
 /// Retry delay advised with a refusal that the module did not decide, in milliseconds: what the agreed rules
 /// refuse now may be allowed again later.
-const DENIED: u64 = 1000;
+const DEFAULT_RETRY_DELAY_MS: u64 = 1000;
 
 /// Number of requests that have no final answer yet.
 pub type PendingAnswers = Cell<usize>;
@@ -95,11 +95,11 @@
     shared: Rc<Shared>,
     pending_answers: Rc<PendingAnswers>,
     peers: HashMap<MemberId, Sender<Order>>,
-    requests: HashMap<RequestId, Open>,
+    requests: HashMap<RequestId, OpenRequest>,
     /// Open requests by client connection and sequence number.
     by_client: BTreeMap<(u64, i32), RequestId>,
-    attempts: HashMap<u64, Out>,
-    due: BTreeMap<(Micros, u64), Due>,
+    attempts: HashMap<u64, InFlight>,
+    due_timers: BTreeMap<(Micros, u64), TimerKind>,
     /// Events for the module that arose while its actions were carried out.
     backlog: VecDeque<Event>,
     actions: Vec<Action>,
@@ -112,10 +112,10 @@
     /// Members that the routers have agreed not to use, and agreed weights.
     withheld: Withheld,
     /// When the module was last told that the feed's lease has run out, on the steady clock.
-    told_stale: Option<Micros>,
+    stale_reported_at: Option<Micros>,
     counters: Rc<Counters>,
     start_peer: StartPeer,
-    next: u64,
+    last_number: u64,
 }
 
 /// Starts the actor of the member at this address and returns its mailbox.
@@ -125,9 +125,9 @@
     /// Creates a director whose module uses this random seed.
     pub fn new(seed: u64, shared: Rc<Shared>, pending_answers: Rc<PendingAnswers>, copies: Copies) -> Self {
         let settings = shared.site.settings.clone();
-        let all = shared.clone();
+        let for_peers = shared.clone();
         Self {
-            start_peer: Box::new(move |id, address| Peer::start(id, address, &all)),
+            start_peer: Box::new(move |id, address| Peer::start(id, address, &for_peers)),
             module: bitternhold::Director::new(seed, settings.clone()),
             settings,
             shared,
@@ -136,16 +136,16 @@
             requests: HashMap::new(),
             by_client: BTreeMap::new(),
             attempts: HashMap::new(),
-            due: BTreeMap::new(),
+            due_timers: BTreeMap::new(),
             backlog: VecDeque::new(),
             actions: Vec::new(),
             copies,
             skew: Skew::default(),
             knowledge: None,
             withheld: Withheld::default(),
-            told_stale: None,
+            stale_reported_at: None,
             counters: Rc::default(),
-            next: 0,
+            last_number: 0,
         }
     }
 
@@ -176,59 +176,65 @@
         if learnt.refused > 0 {
             tracing::warn!("{} items from another router are out of range and were dropped", learnt.refused);
         }
-        learnt.purges.into_iter().for_each(|(what, at)| self.purged(what, at));
-        self.review();
-        self.event(Event::Inherited(learnt.inherited));
+        learnt.purges.into_iter().for_each(|(what, at)| self.apply_purge(what, at));
+        self.apply_router_reports();
+        self.handle_event(Event::Inherited(learnt.inherited));
     }
 
     /// Applies what other routers report of members where that outranks the own list, and the own list again
     /// where it no longer does.
-    fn review(&mut self) {
+    fn apply_router_reports(&mut self) {
         let mut changed = self.knowledge.as_mut().map_or_else(Vec::new, Knowledge::review);
-        self.withheld.told(false, &mut changed);
-        self.act_by(changed);
+        self.withheld.apply_list(false, &mut changed);
+        self.apply_changes(changed);
     }
 
     /// Applies changed list entries: to the peer actors and to the module.
-    fn act_by(&mut self, changed: Vec<ListEntry>) {
+    fn apply_changes(&mut self, changed: Vec<ListEntry>) {
         if changed.is_empty() {
             return;
         }
         for m in &changed {
             let id = m.member.id;
-            tracing::info!(member = %spelt(id), "acts by {:?}, started {}", m.member.lifecycle, m.member.started);
-            self.listed(m);
+            tracing::info!(
+                member = %format_member(id),
+                "acts by {:?}, started {}",
+                m.member.lifecycle,
+                m.member.started
+            );
+            self.apply_entry(m);
         }
         let members = changed.into_iter().map(|m| m.member).collect();
-        self.event(Event::Members { kind: ListKind::Delta, members });
+        self.handle_event(Event::Members { kind: ListKind::Delta, members });
     }
 
     /// Runs until both mailboxes are closed. Feed updates are handled before everything else that is pending:
     /// a purge or a drain must not queue behind requests that would otherwise be sent without regard to it.
     pub async fn run(mut self, news: Receiver<Notification>, mailbox: Receiver<Message>) {
         loop {
-            let due = self.next_timer();
-            let wake = async {
-                match due {
+            let next_due = self.next_timer();
+            let timer = async {
+                match next_due {
                     Some(at) => clock::timer_at(at).await,
                     None => Timer::never().await,
                 };
-                Some(Next::Due)
+                Some(NextInput::TimersDue)
             };
-            let told = async { news.recv().await.ok().map(Next::Notification) };
-            let message = async { mailbox.recv().await.ok().map(|message| Next::Message(Box::new(message))) };
-            match future::or(told, future::or(message, wake)).await {
-                Some(Next::Notification(told)) => self.notice(told),
-                Some(Next::Message(message)) => self.message(*message),
-                Some(Next::Due) => {}
+            let update = async { news.recv().await.ok().map(NextInput::Notification) };
+            let message =
+                async { mailbox.recv().await.ok().map(|message| NextInput::Message(Box::new(message))) };
+            match future::or(update, future::or(message, timer)).await {
+                Some(NextInput::Notification(update)) => self.notice(update),
+                Some(NextInput::Message(message)) => self.message(*message),
+                Some(NextInput::TimersDue) => {}
                 None => return,
             }
-            let mut batch = BATCH;
+            let mut remaining = MAX_MESSAGE_BATCH;
             loop {
-                if let Ok(told) = news.try_recv() {
-                    self.notice(told);
-                } else if let Some(message) = (batch > 0).then(|| mailbox.try_recv().ok()).flatten() {
-                    batch -= 1;
+                if let Ok(update) = news.try_recv() {
+                    self.notice(update);
+                } else if let Some(message) = (remaining > 0).then(|| mailbox.try_recv().ok()).flatten() {
+                    remaining -= 1;
                     self.message(message);
                 } else {
                     break;
@@ -244,72 +250,75 @@
         match news {
             Update::UpToDate => {
                 self.knowledge.iter_mut().for_each(Knowledge::heard);
-                self.review();
+                self.apply_router_reports();
             }
             Update::Members { complete, mut members } => {
-                let told: Vec<Member> = members.iter().map(|m| m.member.clone()).collect();
-                self.shared.state.note_members(complete, &told);
+                let entries: Vec<Member> = members.iter().map(|m| m.member.clone()).collect();
+                self.shared.state.update_members(complete, &entries);
                 self.knowledge.iter_mut().for_each(|k| k.listed(complete, &members));
                 if complete {
                     let listed: Vec<MemberId> = members.iter().map(|m| m.member.id).collect();
                     let absent: Vec<MemberId> =
                         self.peers.keys().filter(|id| !listed.contains(id)).copied().collect();
-                    absent.into_iter().for_each(|id| self.gone(id));
+                    absent.into_iter().for_each(|id| self.retire_member(id));
                 }
-                self.withheld.told(complete, &mut members);
-                members.iter().for_each(|m| self.listed(m));
+                self.withheld.apply_list(complete, &mut members);
+                members.iter().for_each(|m| self.apply_entry(m));
                 let members: Vec<Member> = members.into_iter().map(|m| m.member).collect();
                 tracing::debug!(complete, "list: {} entries", members.len());
-                self.event(Event::Members { kind: if complete { whole } else { ListKind::Delta }, members });
-                self.review();
+                self.handle_event(Event::Members {
+                    kind: if complete { whole } else { ListKind::Delta },
+                    members,
+                });
+                self.apply_router_reports();
             }
             Update::Purged { what, at } => {
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
-                self.purged(what, at);
+                self.apply_purge(what, at);
             }
         }
     }
 
     /// Applies a purge to the own copies and the attempts not yet written, and passes it to the module.
-    fn purged(&mut self, what: PurgeTarget, at: Stamp) {
+    fn apply_purge(&mut self, what: PurgeTarget, at: Stamp) {
         let now = self.now();
-        let keep = self.settings.purge_complete_within + self.settings.purge_grace;
-        self.shared.state.purged(now, what, keep);
+        let retention = self.settings.purge_complete_within + self.settings.purge_grace;
+        self.shared.state.purged(now, what, retention);
         self.copies.purge(now, what, at);
-        self.drop_offered(what, at);
+        self.release_purged_copies(what, at);
         let (object, group) = match what {
             PurgeTarget::Object(key) => (Some(format!("{key:016x}")), 0),
             PurgeTarget::Group(group) => (None, group),
         };
-        self.event(Event::Purged { object, group, age: self.skew.purge_age(now, at) });
+        self.handle_event(Event::Purged { object, group, age: self.skew.purge_age(now, at) });
     }
 
     /// Retires the actor of a member that is gone.
-    fn gone(&mut self, id: MemberId) {
+    fn retire_member(&mut self, id: MemberId) {
         self.shared.state.set_ready(id, false);
         if let Some(peer) = self.peers.remove(&id) {
-            self.post(&peer, Order::Retire);
+            self.send_to_peer(&peer, Order::Retire);
         }
     }
 
     /// Applies a list entry: starts, updates or retires the member's actor.
-    fn listed(&mut self, m: &ListEntry) {
+    fn apply_entry(&mut self, m: &ListEntry) {
         let id = m.member.id;
         if m.member.lifecycle == Lifecycle::Gone {
-            return self.gone(id);
+            return self.retire_member(id);
         }
         self.shared.state.set_ready(id, m.member.lifecycle == Lifecycle::Ready);
         match self.peers.get(&id).cloned() {
             Some(peer) => {
-                self.next += 1;
-                self.post(&peer, Order::Address(m.address, self.next));
+                self.last_number += 1;
+                self.send_to_peer(&peer, Order::Address(m.address, self.last_number));
             }
             None => drop(self.peers.insert(id, (self.start_peer)(id, m.address))),
         }
     }
 
     /// Sends an order that must not be lost, even if the mailbox is full.
-    fn post(&self, peer: &Sender<Order>, order: Order) {
+    fn send_to_peer(&self, peer: &Sender<Order>, order: Order) {
         if let Err(async_channel::TrySendError::Full(order)) = peer.try_send(order) {
             let peer = peer.clone();
             self.shared.tasks.spawn(async move { drop(peer.send(order).await) }).detach();
@@ -319,15 +328,19 @@
     /// Handles a message.
     pub fn message(&mut self, message: Message) {
         match message {
-            Message::Request { client, seq, call } => self.request(client, seq, call),
+            Message::Request { client, seq, call } => self.handle_request(client, seq, call),
             Message::Forget { client, seq } => {
                 if let Some(id) = self.by_client.get(&(client, seq)).copied() {
-                    self.left(id);
+                    self.client_left(id);
                 }
             }
-            Message::Disconnected { client } => self.open_on(client).into_iter().for_each(|id| self.left(id)),
-            Message::GiveUp { client } => self.open_on(client).into_iter().for_each(|id| self.give_up(id)),
-            Message::Ended(end) => self.ended(end),
+            Message::Disconnected { client } => {
+                self.open_requests_of(client).into_iter().for_each(|id| self.client_left(id))
+            }
+            Message::GiveUp { client } => {
+                self.open_requests_of(client).into_iter().for_each(|id| self.give_up(id))
+            }
+            Message::Ended(end) => self.attempt_ended(end),
             Message::ExportKnowledge { reply } => {
                 let report = self.module.report(self.now());
                 let items = self.knowledge.as_mut().map_or_else(Vec::new, |k| k.give(report));
@@ -337,14 +350,14 @@
             Message::HalfLives(half_lives) => {
                 self.knowledge.iter_mut().for_each(|k| k.reload(half_lives));
             }
-            Message::Withheld(out) => {
-                let changed = self.withheld.set(out);
-                self.act_by(changed);
+            Message::Withheld(members) => {
+                let changed = self.withheld.set_withheld(members);
+                self.apply_changes(changed);
             }
-            Message::CopyMemory(room) => self.copies.set_room(room),
+            Message::CopyMemory(bytes) => self.copies.set_memory_limit(bytes),
             Message::Weights(weights) => {
-                let changed = self.withheld.weigh(weights);
-                self.act_by(changed);
+                let changed = self.withheld.set_weights(weights);
+                self.apply_changes(changed);
             }
             Message::PublishLimits => {
                 let members = self.module.members_report(self.now());
@@ -352,12 +365,12 @@
                 *self.shared.state.limits() = limits.collect();
             }
             Message::Probed { member, status, elapsed, load } => {
-                self.event(Event::Probed { member, status, elapsed, load });
+                self.handle_event(Event::Probed { member, status, elapsed, load });
             }
         }
     }
 
-    fn request(&mut self, client: Rc<dyn ClientHandle>, seq: i32, call: Call) {
+    fn handle_request(&mut self, client: Rc<dyn ClientHandle>, seq: i32, call: Call) {
         // A sequence number that is already open can't be answered twice: the later request fails.
         if self.by_client.contains_key(&(client.id(), seq)) {
             tracing::warn!(
@@ -369,27 +382,36 @@
         }
         if self.shared.state.refuses(call.class, call.group) {
             self.counters.refused(RefusalReason::Agreed);
-            let refusal = Refusal::new(SafeToRetry::unsent(call), &self.settings, DENIED);
+            let refusal = Refusal::new(SafeToRetry::unsent(call), &self.settings, DEFAULT_RETRY_DELAY_MS);
             return client.answer(seq, Verdict::Refused(refusal));
         }
-        self.next += 1;
-        let id = RequestId(u128::from(self.next));
+        self.last_number += 1;
+        let id = RequestId(u128::from(self.last_number));
         let call = Rc::new(call);
         self.by_client.insert((client.id(), seq), id);
         let now = self.now();
         let copy = self.offered_copy(now, &call);
         let own = copy.as_ref().map(|copy| OwnCopy {
             age: self.skew.copy_age(now, copy.stamp),
-            since_cache_hit: now.saturating_sub(copy.seen()),
-            delivery_time: self.copies.wait(now, copy.bytes(call.holds(&copy.tag))),
+            since_cache_hit: now.saturating_sub(copy.confirmed_at()),
+            delivery_time: self.copies.transfer_time(now, copy.bytes(call.holds(&copy.tag))),
         });
-        let account = Account::new(self.settings.classes.get(call.class));
-        let (out, closed) = (Vec::new(), false);
-        let open = Open { call: call.clone(), came: now, client, seq, account, out, own: copy, closed };
+        let history = AttemptHistory::new(self.settings.classes.get(call.class));
+        let (in_flight, closed) = (Vec::new(), false);
+        let open = OpenRequest {
+            call: call.clone(),
+            received_at: now,
+            client,
+            seq,
+            history,
+            in_flight,
+            own_copy: copy,
+            closed,
+        };
         self.requests.insert(id, open);
         self.pending_answers.set(self.pending_answers.get() + 1);
-        self.wake(call.deadline + LAST_WORD, Due::Request(id));
-        self.event(Event::Request(Request {
+        self.set_timer(call.deadline + FALLBACK_FAIL_DELAY, TimerKind::Request(id));
+        self.handle_event(Event::Request(Request {
             own_copy: own,
             id,
             class: call.class,
@@ -403,33 +425,33 @@
     }
 
     /// The open requests of a client's connection.
-    fn open_on(&self, client: u64) -> Vec<RequestId> {
+    fn open_requests_of(&self, client: u64) -> Vec<RequestId> {
         self.by_client.range((client, i32::MIN)..=(client, i32::MAX)).map(|(_, id)| *id).collect()
     }
 
     /// Sets a timer.
-    fn wake(&mut self, at: Micros, due: Due) {
-        self.next += 1;
-        self.due.insert((at, self.next), due);
+    fn set_timer(&mut self, at: Micros, due: TimerKind) {
+        self.last_number += 1;
+        self.due_timers.insert((at, self.last_number), due);
     }
 
     /// Returns when the next timer is due.
     pub fn next_timer(&self) -> Option<Micros> {
-        self.due.keys().next().map(|(at, _)| *at)
+        self.due_timers.keys().next().map(|(at, _)| *at)
     }
 
     /// Runs the timers that are due.
     pub fn timers(&mut self) {
         let now = self.now();
-        while let Some(entry) = self.due.first_entry().filter(|e| e.key().0 <= now) {
+        while let Some(entry) = self.due_timers.first_entry().filter(|e| e.key().0 <= now) {
             match entry.remove() {
-                Due::Module(token) => self.event(Event::Timer { token }),
-                Due::Attempt(ticket) => self.drop_attempt(ticket, Status::Timeout),
-                Due::Request(id) => {
+                TimerKind::Module(token) => self.handle_event(Event::Timer { token }),
+                TimerKind::Attempt(ticket) => self.end_attempt(ticket, Status::Timeout),
+                TimerKind::Request(id) => {
                     if let Some(open) = self.requests.get(&id).filter(|open| !open.closed) {
                         tracing::warn!(rid = open.call.rid, "no answer from the module at the deadline");
                         self.answer(id, Verdict::Failed);
-                        self.event(Event::ClientGone { id });
+                        self.handle_event(Event::ClientGone { id });
                     }
                 }
             }
@@ -438,33 +460,38 @@
 
     /// Passes an event to the module and carries out its actions. Events that arise from the actions are
     /// passed to the module in turn.
-    fn event(&mut self, event: Event) {
-        self.tell_stale();
+    fn handle_event(&mut self, event: Event) {
+        self.report_stale_feed();
         self.backlog.push_back(event);
         while let Some(event) = self.backlog.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.module.handle(self.now(), event, &mut actions);
-            actions.drain(..).for_each(|action| self.act(action));
+            actions.drain(..).for_each(|action| self.perform(action));
             self.actions = actions;
         }
     }
 
     /// Carries out an action of the module.
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Lookup { id, member, until } => {
                 let (keep, mode) = (Keep::Pass, FillMode::default());
-                self.send(id, member, until, FetchOptions { source: None, keep, max_age: None, mode });
+                self.send_attempt(
+                    id,
+                    member,
+                    until,
+                    FetchOptions { source: None, keep, max_age: None, mode },
+                );
             }
             Action::Fetch { id, member, until, source, keep, max_age, mode } => {
                 let source = (source != member).then_some(source);
-                self.send(id, member, until, FetchOptions { source, keep, max_age, mode });
+                self.send_attempt(id, member, until, FetchOptions { source, keep, max_age, mode });
             }
             Action::Cancel { id, attempt } => {
-                let out = self.requests.get(&id).map(|open| open.out.clone()).unwrap_or_default();
+                let tickets = self.requests.get(&id).map(|open| open.in_flight.clone()).unwrap_or_default();
                 let named = |t: &u64| self.attempts.get(t).is_some_and(|o| o.number == attempt);
-                if let Some(ticket) = out.into_iter().find(named) {
-                    self.drop_attempt(ticket, Status::Cancelled);
+                if let Some(ticket) = tickets.into_iter().find(named) {
+                    self.end_attempt(ticket, Status::Cancelled);
                 }
             }
             Action::Refuse { id, wait } => self.refuse(id, wait),
@@ -475,7 +502,7 @@
                 self.backlog.push_back(Event::OwnCopyResult { id, served });
             }
             Action::Fail { id } => self.answer(id, Verdict::Failed),
-            Action::Timer { delay, token } => self.wake(self.now() + delay, Due::Module(token)),
+            Action::Timer { delay, token } => self.set_timer(self.now() + delay, TimerKind::Module(token)),
             Action::Probe { member } => {
                 let sent = self.peers.get(&member).is_some_and(|p| p.try_send(Order::Probe).is_ok());
                 if !sent {
@@ -485,19 +512,19 @@
             }
             // Nothing to do: the feed is followed all the time.
             Action::Watch | Action::FetchList => {}
-            Action::Log(words) => tracing::info!("module: {words}"),
+            Action::Log(text) => tracing::info!("module: {text}"),
         }
     }
 }
 
 /// Formats a member's id as the coordinator and the caches write it.
-fn spelt(id: MemberId) -> String {
+fn format_member(id: MemberId) -> String {
     format!("s-{:08x}", id.0)
 }
 
 /// What the run loop handles next.
-enum Next {
+enum NextInput {
     Notification(Notification),
     Message(Box<Message>),
-    Due,
+    TimersDue,
 }
--- a/silverspindle/src/director/answers.rs
+++ b/silverspindle/src/director/answers.rs
@@ -3,7 +3,7 @@
 
 use bitternhold::{Event, Micros, RequestId};
 
-use super::{DENIED, Director};
+use super::{DEFAULT_RETRY_DELAY_MS, Director};
 use crate::counters::RefusalReason;
 use crate::traffic::{Call, Refusal, Verdict};
 
@@ -13,10 +13,10 @@
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.closed) else { return false };
         open.closed = true;
         open.call.finished.set(true);
-        open.own = None;
+        open.own_copy = None;
         self.by_client.remove(&(open.client.id(), open.seq));
         self.pending_answers.set(self.pending_answers.get() - 1);
-        if open.out.is_empty() {
+        if open.in_flight.is_empty() {
             self.requests.remove(&id);
         }
         true
@@ -31,15 +31,15 @@
         // The versions of the agreed rules that are in force, if rules are on.
         let rules =
             tracing::enabled!(tracing::Level::TRACE).then(|| self.shared.state.rules_version()).flatten();
-        let attempts = open.account.attempts();
+        let attempts = open.history.attempts();
         tracing::trace!(rid, class, attempts, spare, rules, "answer {}", verdict.name());
         if matches!(verdict, Verdict::Refused(_) | Verdict::Failed) && !open.closed {
-            let may_have_run = open.account.may_have_run();
-            tracing::debug!(rid, class, may_have_run, "{}; attempts: {}", verdict.name(), open.account);
+            let may_have_run = open.history.may_have_run();
+            tracing::debug!(rid, class, may_have_run, "{}; attempts: {}", verdict.name(), open.history);
         }
-        let took = self.now().saturating_sub(open.came);
+        let elapsed = self.now().saturating_sub(open.received_at);
         let served = matches!(verdict, Verdict::Served(_) | Verdict::NotModified);
-        self.shared.state.answered(served && took <= self.aim(&open.call));
+        self.shared.state.answered(served && elapsed <= self.aim(&open.call));
         if self.close(id) {
             self.counters.answered(verdict.name());
             client.answer(seq, verdict);
@@ -50,25 +50,25 @@
     /// does no harm, failed otherwise.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { return };
-        let verdict = match open.account.safe_to_retry() {
-            Some(proof) => Verdict::Refused(Refusal::new(proof, &self.settings, DENIED)),
+        let verdict = match open.history.safe_to_retry() {
+            Some(proof) => Verdict::Refused(Refusal::new(proof, &self.settings, DEFAULT_RETRY_DELAY_MS)),
             None => Verdict::Failed,
         };
         tracing::debug!(rid = open.call.rid, "given up: {}", verdict.name());
         self.counters.refused(RefusalReason::GivenUp);
         self.answer(id, verdict);
-        self.event(Event::ClientGone { id });
+        self.handle_event(Event::ClientGone { id });
     }
 
     /// Refuses a request as the module decided, if its attempts prove that a retry does no harm; otherwise
     /// the request fails.
     pub(super) fn refuse(&mut self, id: RequestId, wait: Micros) {
         let Some(open) = self.requests.get(&id).filter(|open| !open.closed) else { return };
-        let Some(proof) = open.account.safe_to_retry() else {
+        let Some(proof) = open.history.safe_to_retry() else {
             tracing::warn!(
                 rid = open.call.rid,
                 "a refusal without proof is withheld; attempts: {}",
-                open.account
+                open.history
             );
             self.counters.refused(RefusalReason::Unproven);
             return self.answer(id, Verdict::Failed);
@@ -76,23 +76,23 @@
         self.counters.refused(RefusalReason::Exhausted);
         // Rounded up to whole milliseconds: the client should wait at least this long.
         let backoff = (wait > 0).then(|| wait.div_ceil(1000));
-        self.answer(id, Verdict::Refused(Refusal::advised(proof, backoff)));
+        self.answer(id, Verdict::Refused(Refusal::with_backoff(proof, backoff)));
     }
 
     /// Time within which an answer to this request earns its full worth: the aim of the class plus the
     /// class's multiple of the request's sending time.
     pub(super) fn aim(&self, call: &Call) -> Micros {
         let Some(class) = self.settings.classes.get(call.class) else { return 0 };
-        let sending = call.size_kb.unwrap_or(0.0) / self.settings.flow_kb_per_s.max(1.0);
-        class.aim + (class.aim_stretch * sending * 1e6) as Micros
+        let sending_time_s = call.size_kb.unwrap_or(0.0) / self.settings.flow_kb_per_s.max(1.0);
+        class.aim + (class.aim_stretch * sending_time_s * 1e6) as Micros
     }
 
     /// Closes a request whose client has closed the connection or no longer waits for the answer.
-    pub(super) fn left(&mut self, id: RequestId) {
+    pub(super) fn client_left(&mut self, id: RequestId) {
         let client = self.requests.get(&id).map(|open| open.client.clone());
         if self.close(id) {
             client.iter().for_each(|client| client.drop_request());
-            self.event(Event::ClientGone { id });
+            self.handle_event(Event::ClientGone { id });
         }
     }
 }
--- a/silverspindle/src/director/attempts.rs
+++ b/silverspindle/src/director/attempts.rs
@@ -5,7 +5,7 @@
 
 use bitternhold::{Event, Idempotency, MemberId, Micros, Outcome, RequestId, Status};
 
-use super::{Director, Due, Out, spelt};
+use super::{Director, InFlight, TimerKind, format_member};
 use crate::invariant;
 use crate::traffic::{Attempt, AttemptEnd, Call, FetchOptions, Verdict};
 use crate::upstream::Order;
@@ -13,42 +13,48 @@
 /// An attempt at a cold member must be written within this part (the divisor) of the time for which an
 /// overload tips such a member over; otherwise the module decides again. Attempts that waited for a
 /// connection and arrived together with later ones would exceed the member's budget.
-const COLD_WAIT: Micros = 10;
+const COLD_WRITE_DIVISOR: Micros = 10;
 
 impl Director {
     /// Handles the end of an attempt: answers the request if it was served, and passes the outcome to the
     /// module.
-    pub(super) fn ended(&mut self, end: AttemptEnd) {
-        let Some(out) = self.attempts.remove(&end.ticket) else { return };
-        self.shared.state.over(&out.attempt, end.status == Status::Ok, end.note);
+    pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
+        let Some(in_flight) = self.attempts.remove(&end.ticket) else { return };
+        self.shared.state.attempt_ended(&in_flight.attempt, end.status == Status::Ok, end.note);
         let now = self.now();
-        if let Some(open) = self.requests.get_mut(&out.id) {
-            open.account.ended(now, end.ticket, end.status);
+        if let Some(open) = self.requests.get_mut(&in_flight.id) {
+            open.history.record_end(now, end.ticket, end.status);
         }
         if end.status == Status::Moot {
             // The attempt's maximum copy age may have been too high for the expired lease: the module is told
             // the age again, so that its next decision uses a new limit.
-            self.told_stale = None;
+            self.stale_reported_at = None;
         }
-        if end.status == Status::Moot && out.attempt.client.is_gone() {
+        if end.status == Status::Moot && in_flight.attempt.client.is_gone() {
             // The peer found at writing time that the client is gone, before the front reported it: nothing
             // is left to decide.
-            self.left(out.id);
+            self.client_left(in_flight.id);
         }
         if end.status == Status::Ok {
-            self.keep_copy(&out.attempt.call, &end);
+            self.keep_copy(&in_flight.attempt.call, &end);
             let verdict = end.body.map_or(Verdict::NotModified, Verdict::Served);
-            self.answer(out.id, verdict);
+            self.answer(in_flight.id, verdict);
         }
         let AttemptEnd { status, note, waited, load, .. } = end;
-        let elapsed = self.now().saturating_sub(out.sent);
-        let rid = &out.attempt.call.rid;
-        tracing::trace!(rid, number = out.number, member = %spelt(out.member), elapsed, "end {status:?} {note:?}");
-        let closed = self.let_go(out.id, end.ticket);
-        self.event(Event::Outcome(Outcome {
-            id: out.id,
-            attempt: out.number,
-            member: out.member,
+        let elapsed = self.now().saturating_sub(in_flight.sent_at);
+        let rid = &in_flight.attempt.call.rid;
+        tracing::trace!(
+            rid,
+            number = in_flight.number,
+            member = %format_member(in_flight.member),
+            elapsed,
+            "end {status:?} {note:?}"
+        );
+        let closed = self.remove_attempt(in_flight.id, end.ticket);
+        self.handle_event(Event::Outcome(Outcome {
+            id: in_flight.id,
+            attempt: in_flight.number,
+            member: in_flight.member,
             status,
             elapsed,
             closed,
@@ -60,56 +66,66 @@
 
     /// Removes an attempt that is no longer in flight from its request. Returns whether the request is
     /// finished.
-    pub(super) fn let_go(&mut self, id: RequestId, ticket: u64) -> bool {
+    pub(super) fn remove_attempt(&mut self, id: RequestId, ticket: u64) -> bool {
         let Some(open) = self.requests.get_mut(&id) else { return true };
-        open.out.retain(|t| *t != ticket);
+        open.in_flight.retain(|t| *t != ticket);
         let closed = open.closed;
-        if closed && open.out.is_empty() {
+        if closed && open.in_flight.is_empty() {
             self.requests.remove(&id);
         }
         closed
     }
 
     /// Ends an attempt from the director's side, because its result is no longer needed.
-    pub(super) fn drop_attempt(&mut self, ticket: u64, status: Status) {
-        let Some(out) = self.attempts.get(&ticket) else { return };
-        out.attempt.abandoned.set(true);
-        self.post(&out.peer, Order::GiveUp(out.attempt.clone(), status == Status::Timeout));
-        self.ended(AttemptEnd::without_details(ticket, status));
+    pub(super) fn end_attempt(&mut self, ticket: u64, status: Status) {
+        let Some(in_flight) = self.attempts.get(&ticket) else { return };
+        in_flight.attempt.abandoned.set(true);
+        self.send_to_peer(
+            &in_flight.peer,
+            Order::GiveUp(in_flight.attempt.clone(), status == Status::Timeout),
+        );
+        self.attempt_ended(AttemptEnd::without_details(ticket, status));
     }
 
     /// Whether a member started so recently that its load is still limited (slow start).
     pub(super) fn is_cold(&self, now: Micros, id: MemberId) -> bool {
-        let Some(noted) = self.shared.state.noted(id).filter(|noted| noted.started > 0) else { return false };
-        let time = match Some(noted.kind) {
+        let Some(info) = self.shared.state.member(id).filter(|info| info.started > 0) else { return false };
+        let time = match Some(info.kind) {
             kind if kind == self.settings.origin_kind => 0,
             kind if kind == self.settings.parent_kind => self.settings.parent_cold_duration,
             _ => self.settings.cold_duration,
         };
-        now < noted.started.saturating_add(time)
+        now < info.started.saturating_add(time)
     }
 
     /// Sends an attempt, or reports it to the module as never sent if it may not or can't be sent.
-    pub(super) fn send(&mut self, id: RequestId, member: MemberId, until: Micros, options: FetchOptions) {
+    pub(super) fn send_attempt(
+        &mut self,
+        id: RequestId,
+        member: MemberId,
+        until: Micros,
+        options: FetchOptions,
+    ) {
         let now = self.now();
-        let most = self.settings.max_attempts;
+        let max_attempts = self.settings.max_attempts;
         let peer = self.peers.get(&member).cloned();
         let cold = [Some(member), options.source].into_iter().flatten().any(|id| self.is_cold(now, id));
         let Some(open) = self.requests.get_mut(&id) else {
             invariant!(false, "an attempt for a request that is not open");
             return;
         };
-        let number = open.account.attempts();
+        let number = open.history.attempts();
         let deadline = if until == 0 { open.call.deadline } else { until.min(open.call.deadline) };
         let class = self.settings.classes.get(open.call.class);
         let window = class.filter(|c| c.idempotency == Idempotency::Deduplicated).map(|c| c.dedup_window);
-        let repeat_by =
-            window.zip(open.account.repeat_from()).map(|(window, first)| first.saturating_add(window));
+        let repeat_by = window
+            .zip(open.history.repeat_window_start())
+            .map(|(window, first)| first.saturating_add(window));
         let window = self.settings.overload_window;
-        let cold_by = (cold && window > 0).then(|| now + window / COLD_WAIT);
+        let cold_by = (cold && window > 0).then(|| now + window / COLD_WRITE_DIVISOR);
         let write_by = [repeat_by, cold_by].into_iter().flatten().fold(deadline, Micros::min);
-        self.next += 1;
-        let ticket = self.next;
+        self.last_number += 1;
+        let ticket = self.last_number;
         let attempt = Rc::new(Attempt {
             ticket,
             call: open.call.clone(),
@@ -126,12 +142,12 @@
             tokens: Cell::new(0),
         });
         // As in the simulator, an attempt that may not or can't be sent any more ends as never sent.
-        let may = !open.closed && deadline > now && (most == 0 || number < most);
-        self.shared.state.begun(&attempt, member);
-        let peer = peer.filter(|p| may && p.try_send(Order::Send(attempt.clone())).is_ok());
+        let may_send = !open.closed && deadline > now && (max_attempts == 0 || number < max_attempts);
+        self.shared.state.attempt_started(&attempt, member);
+        let peer = peer.filter(|p| may_send && p.try_send(Order::Send(attempt.clone())).is_ok());
         let Some(peer) = peer else {
-            self.shared.state.over(&attempt, false, None);
-            open.account.unsent(now, member);
+            self.shared.state.attempt_ended(&attempt, false, None);
+            open.history.record_unsent(now, member);
             let closed = open.closed;
             self.backlog.push_back(Event::Outcome(Outcome {
                 id,
@@ -147,11 +163,11 @@
             return;
         };
         let (source, held) =
-            (attempt.options.source.map_or_else(String::new, spelt), attempt.options.mode.held_only);
+            (attempt.options.source.map_or_else(String::new, format_member), attempt.options.mode.held_only);
         let Call { rid, class, object, part, size_kb, .. } = &*attempt.call;
-        let member_name = spelt(member);
+        let member_name = format_member(member);
         if number > 0 {
-            self.counters.retried(open.account.last_end().filter(|_| open.out.is_empty()));
+            self.counters.retried(open.history.last_end().filter(|_| open.in_flight.is_empty()));
         }
         tracing::trace!(
             rid,
@@ -165,9 +181,9 @@
             held,
             "attempt"
         );
-        open.out.push(ticket);
-        open.account.sent(now, member, &attempt);
-        self.attempts.insert(ticket, Out { id, number, member, peer, sent: now, attempt });
-        self.wake(deadline, Due::Attempt(ticket));
+        open.in_flight.push(ticket);
+        open.history.record_sent(now, member, &attempt);
+        self.attempts.insert(ticket, InFlight { id, number, member, peer, sent_at: now, attempt });
+        self.set_timer(deadline, TimerKind::Attempt(ticket));
     }
 }
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -11,7 +11,7 @@
 
 /// Interval in which the module is told the maximum copy age while the feed's lease has run out, in
 /// microseconds. It has to be repeated because the age that the module was told keeps growing.
-const TELL_STALE: Micros = 1_000_000;
+const STALE_REPORT_INTERVAL: Micros = 1_000_000;
 
 impl Director {
     /// Handles an update of the list or of the purges.
@@ -21,7 +21,7 @@
             Notification::PurgedBefore(at) => {
                 let what = PurgeTarget::Group(ALL_GROUPS);
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
-                self.purged(what, at);
+                self.apply_purge(what, at);
             }
             Notification::Batch { after, number } => self.shared.state.applied(Some(after), number),
             Notification::Reset { number } => self.shared.state.applied(None, number),
@@ -30,22 +30,22 @@
 
     /// Whether a copy that the origin issued at this time may be served as far as the feed's lease goes:
     /// always while the lease holds, and only if the copy is younger than the lease once it has run out.
-    pub(super) fn is_young(&self, now: Micros, stamp: Stamp) -> bool {
-        self.shared.state.max_copy_age().is_none_or(|oldest| self.skew.copy_age(now, stamp) < oldest)
+    pub(super) fn is_covered_by_lease(&self, now: Micros, stamp: Stamp) -> bool {
+        self.shared.state.max_copy_age().is_none_or(|max_age| self.skew.copy_age(now, stamp) < max_age)
     }
 
     /// While the feed's lease has run out, tells the module that copies as old as the lease may be purged.
     /// This is repeated before the age has grown past the lease, because an attempt with a higher age limit
     /// is never written.
-    pub(super) fn tell_stale(&mut self) {
-        let Some(oldest) = self.shared.state.max_cache_copy_age() else {
-            self.told_stale = None;
+    pub(super) fn report_stale_feed(&mut self) {
+        let Some(max_age) = self.shared.state.max_cache_copy_age() else {
+            self.stale_reported_at = None;
             return;
         };
         let now = steady();
-        if self.told_stale.is_none_or(|told| now >= told + TELL_STALE) {
-            self.told_stale = Some(now);
-            let age = oldest.saturating_sub(TELL_STALE);
+        if self.stale_reported_at.is_none_or(|reported_at| now >= reported_at + STALE_REPORT_INTERVAL) {
+            self.stale_reported_at = Some(now);
+            let age = max_age.saturating_sub(STALE_REPORT_INTERVAL);
             self.backlog.push_back(Event::Purged { object: None, group: ALL_GROUPS, age });
         }
     }
--- a/silverspindle/src/director/own_copies.rs
+++ b/silverspindle/src/director/own_copies.rs
@@ -21,10 +21,10 @@
         let Some((key, (tag, stamp))) = call.copy_key().zip(end.version.as_ref()).filter(|_| !write) else {
             return;
         };
-        self.skew.note(self.now(), *stamp);
+        self.skew.record(self.now(), *stamp);
         match &end.body {
-            Some(body) => self.copies.keep(self.now(), key, call.group, tag, *stamp, body),
-            None => self.copies.confirm(self.now(), key, tag),
+            Some(body) => self.copies.store(self.now(), key, call.group, tag, *stamp, body),
+            None => self.copies.mark_confirmed(self.now(), key, tag),
         }
     }
 
@@ -32,7 +32,7 @@
     /// old.
     pub(super) fn offered_copy(&self, now: Micros, call: &Call) -> Option<Rc<Copy>> {
         let copy = self.copies.get(&call.copy_key()?)?;
-        self.is_young(now, copy.stamp).then(|| copy.clone())
+        self.is_covered_by_lease(now, copy.stamp).then(|| copy.clone())
     }
 
     /// Answers a request from the copy that was offered for it. Returns false if the copy may not be served
@@ -43,38 +43,39 @@
         let (call, now) = (open.call.clone(), self.now());
         let class = self.settings.classes.get(call.class).filter(|c| !c.write);
         let unproven = SafeToRetry::unproven(OWN_COPY_LOSS);
-        let counts_to = if unproven.is_some() { now } else { open.came };
+        let counts_to = if unproven.is_some() { now } else { open.received_at };
         let age = |copy: &Copy| self.skew.copy_age(counts_to, copy.stamp);
         let good =
             |copy: &Copy| class.is_some_and(|c| c.fresh_for == 0 || age(copy) < c.fresh_for + c.stale_for);
-        let loss = match &open.own {
+        let loss = match &open.own_copy {
             None => CopyLoss::Purged,
             Some(copy) if !good(copy) => CopyLoss::Aged,
-            Some(copy) if !self.is_young(now, copy.stamp) => CopyLoss::Unconfirmed,
+            Some(copy) if !self.is_covered_by_lease(now, copy.stamp) => CopyLoss::Unconfirmed,
             Some(copy) => {
                 let (copy, holds) = (copy.clone(), call.holds(&copy.tag));
-                self.copies.send(now, copy.bytes(holds));
-                call.copy_key().iter().for_each(|key| self.copies.touch(key));
+                self.copies.book_transfer(now, copy.bytes(holds));
+                call.copy_key().iter().for_each(|key| self.copies.mark_used(key));
                 let verdict = if holds { Verdict::NotModified } else { Verdict::Served(copy.body.clone()) };
                 self.answer(id, verdict);
                 return true;
             }
         };
-        let waited_ms = now.saturating_sub(open.came) / 1000;
-        let may_have_run = open.account.may_have_run();
+        let waited_ms = now.saturating_sub(open.received_at) / 1000;
+        let may_have_run = open.history.may_have_run();
         tracing::debug!(rid = call.rid, waited_ms, may_have_run, "own copy lost: {}", loss.name());
         self.counters.copy_lost(loss);
         let Some(unproven) = unproven else { return false };
-        self.answer(id, Verdict::Refused(Refusal::advised(unproven, None)));
+        self.answer(id, Verdict::Refused(Refusal::with_backoff(unproven, None)));
         true
     }
 
     /// Makes open requests release the own copies that a purge applies to.
-    pub(super) fn drop_offered(&mut self, what: PurgeTarget, at: Stamp) {
+    pub(super) fn release_purged_copies(&mut self, what: PurgeTarget, at: Stamp) {
         for open in self.requests.values_mut() {
-            let (call, own) = (&open.call, &mut open.own);
-            *own =
-                own.take().filter(|copy| !call.object_key().is_some_and(|key| copy.falls_to(key, what, at)));
+            let (call, own) = (&open.call, &mut open.own_copy);
+            *own = own
+                .take()
+                .filter(|copy| !call.object_key().is_some_and(|key| copy.is_covered_by(key, what, at)));
         }
     }
 }
--- a/silverspindle/src/skew.rs
+++ b/silverspindle/src/skew.rs
@@ -12,35 +12,35 @@
 
 /// Maximum error that a time stamp is taken as evidence for, in microseconds. Stamps further ahead are
 /// ignored: the operators' clocks are wrong by an hour at most.
-const MOST_BEHIND: Micros = 2 * 3600 * 1_000_000;
+const MAX_AHEAD: Micros = 2 * 3600 * 1_000_000;
 
 /// Bounds on the error of the own clock.
 #[derive(Debug, Default)]
 pub struct Skew {
     /// Largest amount by which a stamp was ahead of the own clock.
-    behind: Micros,
+    max_ahead: Micros,
     /// Least age of a copy on the own clock; `None` before the first.
-    least_age: Option<Micros>,
+    min_age: Option<Micros>,
 }
 
 impl Skew {
     /// Records that a cache has answered with a copy that the origin issued at this time.
-    pub fn note(&mut self, now: Micros, stamp: Stamp) {
+    pub fn record(&mut self, now: Micros, stamp: Stamp) {
         let ahead = stamp.on_own_clock().saturating_sub(now);
-        if ahead <= MOST_BEHIND {
-            self.behind = self.behind.max(ahead);
+        if ahead <= MAX_AHEAD {
+            self.max_ahead = self.max_ahead.max(ahead);
         }
         let age = stamp.age(now);
-        self.least_age = Some(self.least_age.map_or(age, |least| least.min(age)));
+        self.min_age = Some(self.min_age.map_or(age, |lowest| lowest.min(age)));
     }
 
     /// The age of a copy, overestimated rather than underestimated.
     pub fn copy_age(&self, now: Micros, stamp: Stamp) -> Micros {
-        stamp.age(now.saturating_add(self.behind))
+        stamp.age(now.saturating_add(self.max_ahead))
     }
 
     /// The age of a purge, underestimated rather than overestimated.
     pub fn purge_age(&self, now: Micros, at: Stamp) -> Micros {
-        at.age(now).saturating_sub(self.least_age.unwrap_or(Micros::MAX))
+        at.age(now).saturating_sub(self.min_age.unwrap_or(Micros::MAX))
     }
 }
--- a/silverspindle/src/traffic.rs
+++ b/silverspindle/src/traffic.rs
@@ -23,7 +23,7 @@
 use crate::feed::parse_hex_id;
 use crate::{clock, resp};
 
-pub use account::{Account, Refusal, SafeToRetry};
+pub use account::{AttemptHistory, Refusal, SafeToRetry};
 pub use board::{AgreedRules, FeedFreshness, FeedLease, MemberInfo, Members, Notification, RoutingState};
 
 /// A request, independent of the protocol by which it came.
@@ -211,7 +211,7 @@
 /// Budget of file descriptors for connections to peers.
 #[derive(Debug)]
 pub struct Descriptors {
-    all: usize,
+    total: usize,
     left: Cell<usize>,
     /// Descriptors left to an older process during an upgrade.
     reserved: Cell<usize>,
@@ -220,22 +220,22 @@
 impl Descriptors {
     /// A budget of `n` descriptors.
     pub fn new(n: usize) -> Rc<Self> {
-        Rc::new(Self { all: n, left: Cell::new(n), reserved: Cell::new(0) })
+        Rc::new(Self { total: n, left: Cell::new(n), reserved: Cell::new(0) })
     }
 
     /// Limits the descriptors in use to this number. Descriptors already in use beyond it are kept.
-    pub fn set_limit(&self, most: usize) {
-        self.reserved.set(self.all.saturating_sub(most));
+    pub fn set_limit(&self, max_in_use: usize) {
+        self.reserved.set(self.total.saturating_sub(max_in_use));
     }
 
     /// Size of the whole budget.
     pub fn all(&self) -> usize {
-        self.all
+        self.total
     }
 
     /// Whether enough descriptors are left to open connections that are not strictly necessary.
     pub(crate) fn has_spare(&self) -> bool {
-        self.left.get() > self.all / 3 + self.reserved.get()
+        self.left.get() > self.total / 3 + self.reserved.get()
     }
 
     /// Takes a descriptor from the budget, if one is left.
--- a/silverspindle/src/traffic/account.rs
+++ b/silverspindle/src/traffic/account.rs
@@ -38,15 +38,15 @@
 
 impl Refusal {
     /// A refusal with the retry delay that the module advises, in milliseconds.
-    pub fn advised(_: SafeToRetry, backoff: Option<u64>) -> Self {
+    pub fn with_backoff(_: SafeToRetry, backoff: Option<u64>) -> Self {
         Self { backoff }
     }
 
     /// A refusal with a retry delay that does not come from the module, in milliseconds: capped by the
     /// settings, and left out if they pass no delay on.
-    pub fn new(_: SafeToRetry, settings: &Settings, advice: u64) -> Self {
-        let most = settings.max_retry_after / 1000;
-        Self { backoff: (most > 0).then_some(advice.min(most)) }
+    pub fn new(_: SafeToRetry, settings: &Settings, retry_delay_ms: u64) -> Self {
+        let max_delay_ms = settings.max_retry_after / 1000;
+        Self { backoff: (max_delay_ms > 0).then_some(retry_delay_ms.min(max_delay_ms)) }
     }
 
     /// Delay before the client may retry, in milliseconds.
@@ -57,9 +57,9 @@
 
 /// State of an attempt.
 #[derive(Debug)]
-enum State {
+enum AttemptState {
     /// In flight; [`Attempt::written`] tells whether its first byte was written.
-    Out(Rc<Attempt>),
+    InFlight(Rc<Attempt>),
     /// Ended, this long after the decision.
     Ended(Status, Micros),
 }
@@ -69,60 +69,61 @@
 struct Entry {
     member: MemberId,
     decided: Micros,
-    state: State,
+    state: AttemptState,
 }
 
 impl Entry {
     fn may_have_run(&self) -> bool {
         match &self.state {
-            State::Out(attempt) => attempt.written.get(),
-            State::Ended(status, _) => !status.never_executed(),
+            AttemptState::InFlight(attempt) => attempt.written.get(),
+            AttemptState::Ended(status, _) => !status.never_executed(),
         }
     }
 }
 
 /// All attempts of one request, in the order in which they were decided.
 #[derive(Debug)]
-pub struct Account {
+pub struct AttemptHistory {
     /// Requests of its class may be repeated at any member, at any time.
-    repeats_freely: bool,
+    freely_repeatable: bool,
     entries: Vec<Entry>,
 }
 
-impl Account {
+impl AttemptHistory {
     /// The history of a request of this class without any attempts. An unknown class is treated as at most
     /// once.
     pub fn new(class: Option<&Class>) -> Self {
-        let freely = |c: &Class| match c.idempotency {
+        let is_freely_repeatable = |c: &Class| match c.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Deduplicated => c.dedup_group == DedupGroup::All,
             Idempotency::AtMostOnce => false,
         };
-        Self { repeats_freely: class.is_some_and(freely), entries: Vec::new() }
+        Self { freely_repeatable: class.is_some_and(is_freely_repeatable), entries: Vec::new() }
     }
 
     /// The proof that the request may be refused, if the attempts give one. The caller has to close the
     /// request when it refuses it: attempts in flight that are still unwritten are then never written.
     pub fn safe_to_retry(&self) -> Option<SafeToRetry> {
-        let proven = self.repeats_freely || !self.may_have_run();
+        let proven = self.freely_repeatable || !self.may_have_run();
         proven.then_some(SafeToRetry(())).or_else(|| SafeToRetry::unproven(REFUSAL_PROOF))
     }
 
     /// Records an attempt that was handed to the member's peer actor.
-    pub fn sent(&mut self, now: Micros, member: MemberId, attempt: &Rc<Attempt>) {
-        self.entries.push(Entry { member, decided: now, state: State::Out(attempt.clone()) });
+    pub fn record_sent(&mut self, now: Micros, member: MemberId, attempt: &Rc<Attempt>) {
+        self.entries.push(Entry { member, decided: now, state: AttemptState::InFlight(attempt.clone()) });
     }
 
     /// Records an attempt that was decided but could not be sent.
-    pub fn unsent(&mut self, now: Micros, member: MemberId) {
-        self.entries.push(Entry { member, decided: now, state: State::Ended(Status::Moot, 0) });
+    pub fn record_unsent(&mut self, now: Micros, member: MemberId) {
+        self.entries.push(Entry { member, decided: now, state: AttemptState::Ended(Status::Moot, 0) });
     }
 
     /// Records the end of an attempt.
-    pub fn ended(&mut self, now: Micros, ticket: u64, status: Status) {
-        let own = |e: &&mut Entry| matches!(&e.state, State::Out(attempt) if attempt.ticket == ticket);
-        if let Some(entry) = self.entries.iter_mut().find(own) {
-            entry.state = State::Ended(status, now.saturating_sub(entry.decided));
+    pub fn record_end(&mut self, now: Micros, ticket: u64, status: Status) {
+        let is_this =
+            |e: &&mut Entry| matches!(&e.state, AttemptState::InFlight(attempt) if attempt.ticket == ticket);
+        if let Some(entry) = self.entries.iter_mut().find(is_this) {
+            entry.state = AttemptState::Ended(status, now.saturating_sub(entry.decided));
         }
     }
 
@@ -134,8 +135,8 @@
     /// How the most recently decided attempt ended; `None` if it is in flight or there was none.
     pub fn last_end(&self) -> Option<Status> {
         match self.entries.last()?.state {
-            State::Ended(status, _) => Some(status),
-            State::Out(_) => None,
+            AttemptState::Ended(status, _) => Some(status),
+            AttemptState::InFlight(_) => None,
         }
     }
 
@@ -148,22 +149,22 @@
     /// When the first attempt that is in flight or may have run was decided. The window in which the request
     /// may be repeated counts from there, because an attempt in flight may have been written at any time
     /// since.
-    pub fn repeat_from(&self) -> Option<Micros> {
-        let counts = |e: &&Entry| matches!(e.state, State::Out(_)) || e.may_have_run();
-        self.entries.iter().find(counts).map(|entry| entry.decided)
+    pub fn repeat_window_start(&self) -> Option<Micros> {
+        let opens_window = |e: &&Entry| matches!(e.state, AttemptState::InFlight(_)) || e.may_have_run();
+        self.entries.iter().find(opens_window).map(|entry| entry.decided)
     }
 }
 
 /// Formats the attempts for log lines: member, state and duration in milliseconds of each.
-impl fmt::Display for Account {
+impl fmt::Display for AttemptHistory {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (i, entry) in self.entries.iter().enumerate() {
-            let space = if i > 0 { ", " } else { "" };
-            write!(f, "{space}s-{:08x} ", entry.member.0)?;
+            let separator = if i > 0 { ", " } else { "" };
+            write!(f, "{separator}s-{:08x} ", entry.member.0)?;
             match &entry.state {
-                State::Out(attempt) if attempt.written.get() => write!(f, "out, written")?,
-                State::Out(_) => write!(f, "out, unwritten")?,
-                State::Ended(status, after) => write!(f, "{} {} ms", status.name(), after / 1000)?,
+                AttemptState::InFlight(attempt) if attempt.written.get() => write!(f, "out, written")?,
+                AttemptState::InFlight(_) => write!(f, "out, unwritten")?,
+                AttemptState::Ended(status, elapsed) => write!(f, "{} {} ms", status.name(), elapsed / 1000)?,
             }
         }
         Ok(())
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -101,13 +101,13 @@
 pub struct RoutingState {
     clock: Clock,
     /// The rules that the routers have agreed on, if rules are on.
-    agreed: RefCell<Option<Rc<dyn AgreedRules>>>,
+    rules: RefCell<Option<Rc<dyn AgreedRules>>>,
     /// The lease of the feed of purges, if it has one.
     lease: RefCell<Option<Rc<dyn FeedLease>>>,
     /// Time after a purge by which the caches have dropped all older copies.
-    cleared: Cell<Micros>,
+    purge_complete_within: Cell<Micros>,
     /// No attempt is written until the agreed rules are known here.
-    waits: Cell<bool>,
+    requires_rules: Cell<bool>,
     /// The members on the coordinator's list.
     members: RefCell<Members>,
     /// The attempts that may be open at each member. Kept only if orders of work are on.
@@ -119,7 +119,7 @@
     /// The number of the last purge of each object or group, and when it was received.
     purges: RefCell<HashMap<PurgeTarget, (u64, Micros)>>,
     /// Number of purges received.
-    told: Cell<u64>,
+    purge_count: Cell<u64>,
 }
 
 impl RoutingState {
@@ -134,15 +134,15 @@
     }
 
     /// Puts the agreed rules in force.
-    pub fn set_rules(&self, guard: Rc<dyn AgreedRules>) {
-        *self.agreed.borrow_mut() = Some(guard);
+    pub fn set_rules(&self, rules: Rc<dyn AgreedRules>) {
+        *self.rules.borrow_mut() = Some(rules);
     }
 
     /// Sets the lease of the feed of purges. `cleared` is the time after a purge by which the caches have
     /// dropped all older copies.
-    pub fn set_lease(&self, lease: Rc<dyn FeedLease>, cleared: Micros) {
+    pub fn set_lease(&self, lease: Rc<dyn FeedLease>, purge_complete_within: Micros) {
         *self.lease.borrow_mut() = Some(lease);
-        self.cleared.set(cleared);
+        self.purge_complete_within.set(purge_complete_within);
     }
 
     /// While the feed's lease has run out: the maximum age of copies that may be served.
@@ -153,11 +153,11 @@
     /// The same for copies of caches; `None` if the caches themselves have dropped older purged copies by
     /// that age.
     pub fn max_cache_copy_age(&self) -> Option<Micros> {
-        self.asked(self.max_copy_age()?)
+        self.limit_for_caches(self.max_copy_age()?)
     }
 
-    fn asked(&self, oldest: Micros) -> Option<Micros> {
-        (oldest <= self.cleared.get()).then_some(oldest)
+    fn limit_for_caches(&self, max_copy_age: Micros) -> Option<Micros> {
+        (max_copy_age <= self.purge_complete_within.get()).then_some(max_copy_age)
     }
 
     /// Reports that the director has applied a batch, or, without `after`, a state that replaces all numbers
@@ -172,24 +172,24 @@
 
     /// Forbids writing attempts until the agreed rules are known here.
     pub fn require_rules(&self) {
-        self.waits.set(true);
+        self.requires_rules.set(true);
     }
 
     /// Whether the agreed rules refuse requests of this class and group.
     pub fn refuses(&self, class: usize, group: u64) -> bool {
-        self.agreed.borrow().as_ref().is_some_and(|agreed| agreed.refuses(class, group))
+        self.rules.borrow().as_ref().is_some_and(|rules| rules.refuses(class, group))
     }
 
     /// Reports that a request was answered, within its aim or not.
     pub fn answered(&self, in_time: bool) {
-        if let Some(agreed) = self.agreed.borrow().as_ref() {
-            agreed.answered(in_time);
+        if let Some(rules) = self.rules.borrow().as_ref() {
+            rules.answered(in_time);
         }
     }
 
     /// The versions of the agreed rules in force, for the log; `None` if rules are off.
     pub fn rules_version(&self) -> Option<String> {
-        self.agreed.borrow().as_ref()?.rules_version()
+        self.rules.borrow().as_ref()?.rules_version()
     }
 
     /// Turns orders of work on: open attempts are tracked by member, and no attempt is written until the
@@ -200,32 +200,32 @@
     }
 
     /// Records an attempt that is in flight or waits to be written.
-    pub(crate) fn begun(&self, attempt: &Attempt, to: MemberId) {
+    pub(crate) fn attempt_started(&self, attempt: &Attempt, to: MemberId) {
         if let Some(ledger) = &mut *self.ledger.borrow_mut() {
             let members = [Some(to), attempt.options.source].into_iter().flatten();
             let members = members.map(|id| id.0 as u32).collect();
             // On the steady clock: setting the Unix clock must not end the time in which an attempt may be
             // open.
-            let (now, left) = (steady(), attempt.deadline.saturating_sub(self.clock.now()));
-            ledger.begin(now, attempt.ticket, members, now + left);
+            let (now, remaining) = (steady(), attempt.deadline.saturating_sub(self.clock.now()));
+            ledger.begin(now, attempt.ticket, members, now + remaining);
         }
     }
 
     /// Records the end of an attempt. After an answer nothing of it is open any more, unless the member still
     /// renews the copy.
-    pub(crate) fn over(&self, attempt: &Attempt, answered: bool, note: Option<Note>) {
-        if let Some(agreed) = self.agreed.borrow().as_ref() {
-            agreed.attempt_ended(attempt, note);
+    pub(crate) fn attempt_ended(&self, attempt: &Attempt, answered: bool, note: Option<Note>) {
+        if let Some(rules) = self.rules.borrow().as_ref() {
+            rules.attempt_ended(attempt, note);
         }
         if let Some(ledger) = &mut *self.ledger.borrow_mut() {
-            let whole = !attempt.written.get() || (answered && !attempt.options.mode.renew);
-            ledger.end(steady(), attempt.ticket, whole);
+            let all_over = !attempt.written.get() || (answered && !attempt.options.mode.renew);
+            ledger.end(steady(), attempt.ticket, all_over);
         }
     }
 
     /// Accesses the ledger of open attempts, if orders of work are on.
-    pub fn ledger<T>(&self, look: impl FnOnce(&mut Ledger) -> T) -> Option<T> {
-        self.ledger.borrow_mut().as_mut().map(look)
+    pub fn ledger<T>(&self, access: impl FnOnce(&mut Ledger) -> T) -> Option<T> {
+        self.ledger.borrow_mut().as_mut().map(access)
     }
 
     /// The module's limits by member, and whether the member is quarantined.
@@ -234,7 +234,7 @@
     }
 
     /// Applies the coordinator's list, for slow start and for the planning of maintenance work.
-    pub fn note_members(&self, complete: bool, members: &[Member]) {
+    pub fn update_members(&self, complete: bool, members: &[Member]) {
         let mut all = self.members.borrow_mut();
         if complete {
             all.clear();
@@ -244,20 +244,20 @@
                 Lifecycle::Gone => drop(all.remove(&m.id)),
                 state => {
                     let ready = state == Lifecycle::Ready;
-                    let noted = MemberInfo { kind: m.kind, zone: m.zone, ready, started: m.started };
-                    all.insert(m.id, noted);
+                    let info = MemberInfo { kind: m.kind, zone: m.zone, ready, started: m.started };
+                    all.insert(m.id, info);
                 }
             }
         }
     }
 
-    /// The members on the coordinator's list; see [`RoutingState::note_members`].
+    /// The members on the coordinator's list; see [`RoutingState::update_members`].
     pub fn members(&self) -> Members {
         self.members.borrow().clone()
     }
 
     /// A member's entry in the coordinator's list.
-    pub fn noted(&self, id: MemberId) -> Option<MemberInfo> {
+    pub fn member(&self, id: MemberId) -> Option<MemberInfo> {
         self.members.borrow().get(&id).copied()
     }
 
@@ -276,17 +276,17 @@
 
     /// Records a purge. Purges received longer than `keep` ago are forgotten, because no pending attempt is
     /// older.
-    pub fn purged(&self, now: Micros, what: PurgeTarget, keep: Micros) {
-        self.told.set(self.told.get() + 1);
+    pub fn purged(&self, now: Micros, what: PurgeTarget, retention: Micros) {
+        self.purge_count.set(self.purge_count.get() + 1);
         let mut purges = self.purges.borrow_mut();
-        purges.retain(|_, (_, at)| now.saturating_sub(*at) <= keep);
-        purges.insert(what, (self.told.get(), now));
+        purges.retain(|_, (_, at)| now.saturating_sub(*at) <= retention);
+        purges.insert(what, (self.purge_count.get(), now));
     }
 
     /// Number of purges received so far. Stored with a decision, so that later purges can be told from
     /// earlier ones.
     pub fn purge_seq(&self) -> u64 {
-        self.told.get()
+        self.purge_count.get()
     }
 
     /// Whether an attempt may still be written; checked right before its first byte. Guards against attempts
@@ -294,25 +294,25 @@
     /// their cache or their source was drained, or their object was purged.
     pub fn allows(&self, attempt: &Attempt, to: MemberId) -> bool {
         let purges = self.purges.borrow();
-        let since = |what| purges.get(&what).is_some_and(|(told, _)| *told > attempt.purge_seq);
-        let look = self.lease.borrow().as_ref().map(|lease| lease.freshness());
-        let oldest = look.and_then(|look| self.asked(look.max_copy_age?));
+        let purged_since = |what| purges.get(&what).is_some_and(|(number, _)| *number > attempt.purge_seq);
+        let freshness = self.lease.borrow().as_ref().map(|lease| lease.freshness());
+        let max_copy_age = freshness.and_then(|freshness| self.limit_for_caches(freshness.max_copy_age?));
         let allows = self.clock.now() < attempt.write_by
             && !attempt.call.finished.get()
             && !attempt.client.is_gone()
             && self.is_ready(to)
             && attempt.options.source.is_none_or(|source| self.is_ready(source))
-            && !since(PurgeTarget::Group(attempt.call.group))
-            && !since(PurgeTarget::Group(ALL_GROUPS))
-            && !attempt.call.object_key().is_some_and(|key| since(PurgeTarget::Object(key)))
+            && !purged_since(PurgeTarget::Group(attempt.call.group))
+            && !purged_since(PurgeTarget::Group(ALL_GROUPS))
+            && !attempt.call.object_key().is_some_and(|key| purged_since(PurgeTarget::Object(key)))
             // An attempt decided before the feed's lease ran out asks for copies that may have been purged.
-            && oldest.is_none_or(|oldest| attempt.options.max_age.is_some_and(|age| age <= oldest));
-        let allows = match self.agreed.borrow().as_ref() {
-            Some(agreed) => allows && agreed.allows(attempt, to, &self.members.borrow()),
-            None => allows && !self.waits.get(),
+            && max_copy_age.is_none_or(|limit| attempt.options.max_age.is_some_and(|age| age <= limit));
+        let allows = match self.rules.borrow().as_ref() {
+            Some(rules) => allows && rules.allows(attempt, to, &self.members.borrow()),
+            None => allows && !self.requires_rules.get(),
         };
-        if let Some((lease, look)) = self.lease.borrow().as_ref().zip(look).filter(|_| allows) {
-            lease.attempt_written(attempt, look);
+        if let Some((lease, freshness)) = self.lease.borrow().as_ref().zip(freshness).filter(|_| allows) {
+            lease.attempt_written(attempt, freshness);
         }
         allows
     }
