--- a/silverspindle/tests/common/orders.rs
+++ b/silverspindle/tests/common/orders.rs
@@ -29,20 +29,21 @@
 const START: Micros = 1_000_000 * S;
 
 /// Settings of the class. The router's own copy is past its fresh time when the request comes, so that a
-/// cache is asked, and expires [`COPY_LEFT`] later, when an answer from it would still be within the aim.
+/// cache is asked, and expires [`COPY_TIME_LEFT`] later, when an answer from it would still be within the
+/// aim.
 pub const AIM: Micros = 1200 * MS;
 pub const DEADLINE: Micros = 3000 * MS;
 pub const WINDOW: Micros = 2200 * MS;
 pub const FRESH: Micros = 5 * S;
 pub const STALE: Micros = 2 * S;
 const COPY_AGE: Micros = 6 * S;
-const COPY_LEFT: Micros = FRESH + STALE - COPY_AGE;
+const COPY_TIME_LEFT: Micros = FRESH + STALE - COPY_AGE;
 /// Figures of the protocol's rules.
 const DRAIN_GRACE: Micros = S;
-const HEED_PURGES: Micros = 500 * MS;
-const CLEARED: Micros = 6 * S;
+const PURGE_GRACE: Micros = 500 * MS;
+const PURGE_COMPLETE: Micros = 6 * S;
 const ANSWER_GRACE: Micros = 8 * MS;
-const SLACK: Micros = 50 * MS;
+const WINDOW_TOLERANCE: Micros = 50 * MS;
 /// While the feed's lease has run out, copies must be younger than this.
 const LEASE: Micros = 3 * S;
 
@@ -67,7 +68,7 @@
     pub second_copies: bool,
     pub own_copy: bool,
     /// Number of attempts that the settings allow.
-    pub tries: usize,
+    pub max_attempts: usize,
 }
 
 impl Case {
@@ -85,7 +86,7 @@
         settings["family_info"]["fresh_for_ms"] = json!([FRESH / MS]);
         settings["family_info"]["stale_for_ms"] = json!([STALE / MS]);
         settings["limits"]["second_copies"] = json!(self.second_copies);
-        settings["limits"]["try_limit"] = json!(self.tries);
+        settings["limits"]["try_limit"] = json!(self.max_attempts);
         settings
     }
 }
@@ -95,28 +96,28 @@
 pub enum Ending {
     Served,
     Error,
-    NoRoom,
+    Full,
     Miss,
-    Over,
+    TooLate,
     Reset,
-    NoConnection,
+    ConnectFailed,
     NeverSent,
 }
 
 const WRITTEN_ENDINGS: [Ending; 6] =
-    [Ending::Served, Ending::Error, Ending::NoRoom, Ending::Miss, Ending::Over, Ending::Reset];
-const UNWRITTEN_ENDINGS: [Ending; 2] = [Ending::NoConnection, Ending::NeverSent];
+    [Ending::Served, Ending::Error, Ending::Full, Ending::Miss, Ending::TooLate, Ending::Reset];
+const UNWRITTEN_ENDINGS: [Ending; 2] = [Ending::ConnectFailed, Ending::NeverSent];
 
 impl Ending {
     fn status(self) -> Status {
         match self {
             Ending::Served => Status::Ok,
             Ending::Error => Status::Error,
-            Ending::NoRoom => Status::Full,
+            Ending::Full => Status::Full,
             Ending::Miss => Status::Miss,
-            Ending::Over | Ending::NeverSent => Status::Moot,
+            Ending::TooLate | Ending::NeverSent => Status::Moot,
             Ending::Reset => Status::Reset,
-            Ending::NoConnection => Status::ConnectFailed,
+            Ending::ConnectFailed => Status::ConnectFailed,
         }
     }
 
@@ -135,20 +136,20 @@
     /// The attempt with this index ends.
     End(usize, Ending),
     Forget,
-    Left,
+    Disconnect,
     GiveUp,
     Drain,
     Remove,
     /// The member of the first attempt is listed again, in another cell.
-    Return,
+    Relist,
     PurgeObject,
     PurgeGroup,
     /// A purge that is received only after the caches have dropped older copies themselves.
-    PurgeLately,
-    LeaseOut,
-    CopyDisplaced,
+    LatePurge,
+    LeaseExpired,
+    CopyEvicted,
     CopyAged,
-    WindowOver,
+    WindowExpired,
     NextTimer,
 }
 
@@ -168,7 +169,7 @@
         self.written.is_some() && self.ended.is_none_or(Ending::may_have_run)
     }
 
-    fn is_out(&self) -> bool {
+    fn is_in_flight(&self) -> bool {
         self.written.is_some() && self.ended.is_none() && !self.given_up
     }
 }
@@ -208,7 +209,7 @@
 type Mailboxes = Rc<RefCell<BTreeMap<MemberId, Receiver<Order>>>>;
 
 /// The request, the simulated environment and what was observed of both.
-pub struct Play {
+pub struct Simulation {
     case: Case,
     time: Rc<Cell<Micros>>,
     director: Director,
@@ -219,27 +220,27 @@
     not_ready_since: BTreeMap<MemberId, Micros>,
     client: Rc<Client>,
     counters: Rc<Counters>,
-    came: Micros,
+    received_at: Micros,
     copy_stamp: Micros,
     sent: Vec<Sent>,
     /// When each purge was received, and its own time stamp.
     purges: Vec<(Micros, Micros)>,
     closed: bool,
-    judged: usize,
-    story: Vec<String>,
-    broken: Option<String>,
+    answers_checked: usize,
+    trace: Vec<String>,
+    violation: Option<String>,
 }
 
-impl Play {
+impl Simulation {
     /// Starts a program with these settings and delivers the request to it.
-    pub fn start(case: Case, program: &Rc<SiteSettings>) -> Self {
+    pub fn start(case: Case, settings: &Rc<SiteSettings>) -> Self {
         let time = Rc::new(Cell::new(START));
         let state = Rc::new(RoutingState::with_clock(Clock::manual(time.clone())));
         let feed = Rc::new(Feed::default());
-        state.set_lease(feed.clone(), CLEARED);
+        state.set_lease(feed.clone(), PURGE_COMPLETE);
         let (to_director, _) = async_channel::bounded(1);
         let shared = Rc::new(Shared {
-            site: program.clone(),
+            site: settings.clone(),
             state: state.clone(),
             descriptors: Descriptors::new(64),
             director: to_director,
@@ -249,16 +250,16 @@
         let counters = Rc::<Counters>::default();
         director.set_counters(counters.clone());
         let mailboxes = Mailboxes::default();
-        let all = mailboxes.clone();
+        let peer_mailboxes = mailboxes.clone();
         director.start_peers_by(move |id, _| {
-            let (tell, mailbox) = async_channel::bounded(256);
-            all.borrow_mut().insert(id, mailbox);
-            tell
+            let (sender, mailbox) = async_channel::bounded(256);
+            peer_mailboxes.borrow_mut().insert(id, mailbox);
+            sender
         });
         let cells = [(1, 0), (2, 0), (3, 1)];
-        let boxes = cells.map(|(id, cell)| member(id, 0, 1, cell));
-        let members = boxes.into_iter().chain([member(99, 2, 0, 0)]);
-        let mut play = Play {
+        let caches = cells.map(|(id, cell)| member(id, 0, 1, cell));
+        let members = caches.into_iter().chain([member(99, 2, 0, 0)]);
+        let mut simulation = Simulation {
             case,
             time,
             director,
@@ -269,32 +270,32 @@
             not_ready_since: BTreeMap::new(),
             client: Rc::new(Client { id: 2, ..Client::default() }),
             counters,
-            came: 0,
+            received_at: 0,
             copy_stamp: 0,
             sent: Vec::new(),
             purges: Vec::new(),
             closed: false,
-            judged: 0,
-            story: Vec::new(),
-            broken: None,
+            answers_checked: 0,
+            trace: Vec::new(),
+            violation: None,
         };
-        let list = play.members.values().cloned().map(listed).collect();
-        play.director.news(Update::Members { complete: true, members: list }, ListKind::Cached);
+        let list = simulation.members.values().cloned().map(listed).collect();
+        simulation.director.news(Update::Members { complete: true, members: list }, ListKind::Cached);
         if case.own_copy {
-            play.fill_own_copy();
+            simulation.fill_own_copy();
         }
-        play.came = play.now();
-        let client: Rc<dyn ClientHandle> = play.client.clone();
-        play.director.message(Message::Request { client, seq: 1, call: play.call(0xb) });
-        play.look();
-        play
+        simulation.received_at = simulation.now();
+        let client: Rc<dyn ClientHandle> = simulation.client.clone();
+        simulation.director.message(Message::Request { client, seq: 1, call: simulation.call(0xb) });
+        simulation.process_output();
+        simulation
     }
 
     /// Runs an earlier request whose answer the router keeps as its own copy.
     fn fill_own_copy(&mut self) {
-        let before = Rc::new(Client { id: 1, ..Client::default() });
-        self.director.message(Message::Request { client: before, seq: 1, call: self.call(0xa) });
-        self.look();
+        let earlier_client = Rc::new(Client { id: 1, ..Client::default() });
+        self.director.message(Message::Request { client: earlier_client, seq: 1, call: self.call(0xa) });
+        self.process_output();
         self.copy_stamp = self.now();
         self.sent[0].attempt.written.set(true);
         let end = AttemptEnd { body: Some(Bytes::from_static(OWN_BODY)), ..self.end(0, Status::Ok) };
@@ -327,7 +328,7 @@
     }
 
     fn deadline(&self) -> Micros {
-        self.came + DEADLINE
+        self.received_at + DEADLINE
     }
 
     fn end(&self, index: usize, status: Status) -> AttemptEnd {
@@ -339,7 +340,7 @@
     }
 
     /// The events that can occur next.
-    pub fn steps(&self) -> Vec<Step> {
+    pub fn possible_steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         for (index, sent) in self.sent.iter().enumerate().filter(|(_, s)| s.ended.is_none() && !s.given_up) {
             if sent.written.is_some() {
@@ -350,30 +351,30 @@
             }
         }
         if !self.closed {
-            steps.extend([Step::Forget, Step::Left, Step::GiveUp]);
+            steps.extend([Step::Forget, Step::Disconnect, Step::GiveUp]);
         }
-        if !self.is_over() {
+        if !self.is_finished() {
             let first = self.sent.first().and_then(|s| self.members.get(&s.member));
             if first.is_some_and(|m| m.lifecycle == Lifecycle::Ready) {
                 steps.extend([Step::Drain, Step::Remove]);
             }
             if first.is_none_or(|m| m.lifecycle != Lifecycle::Ready) && !self.sent.is_empty() {
-                steps.push(Step::Return);
+                steps.push(Step::Relist);
             }
             if self.purges.is_empty() {
-                steps.extend([Step::PurgeObject, Step::PurgeGroup, Step::PurgeLately]);
+                steps.extend([Step::PurgeObject, Step::PurgeGroup, Step::LatePurge]);
             }
             if !self.feed.0.get() {
-                steps.push(Step::LeaseOut);
+                steps.push(Step::LeaseExpired);
             }
             if self.case.own_copy {
-                steps.push(Step::CopyDisplaced);
+                steps.push(Step::CopyEvicted);
             }
-            if self.case.own_copy && self.now() < self.came + COPY_LEFT {
+            if self.case.own_copy && self.now() < self.received_at + COPY_TIME_LEFT {
                 steps.push(Step::CopyAged);
             }
-            if self.now() < self.came + WINDOW {
-                steps.push(Step::WindowOver);
+            if self.now() < self.received_at + WINDOW {
+                steps.push(Step::WindowExpired);
             }
             steps.push(Step::NextTimer);
         }
@@ -381,13 +382,13 @@
     }
 
     /// Whether the request has its answer and no attempt that could still be written.
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.closed && self.sent.iter().all(|s| s.written.is_some() || s.ended.is_some() || s.given_up)
     }
 
     /// Causes an event.
-    pub fn take(&mut self, step: Step) {
-        self.story.push(format!("{} ms: {step:?}", (self.now() - self.came) / MS));
+    pub fn perform(&mut self, step: Step) {
+        self.trace.push(format!("{} ms: {step:?}", (self.now() - self.received_at) / MS));
         let client: u64 = self.client.id;
         let first = self.sent.first().map(|s| s.member);
         match step {
@@ -397,7 +398,7 @@
                 self.closed = true;
                 self.director.message(Message::Forget { client, seq: 1 });
             }
-            Step::Left => {
+            Step::Disconnect => {
                 self.closed = true;
                 self.client.gone.set(true);
                 self.director.message(Message::Disconnected { client });
@@ -405,27 +406,27 @@
             Step::GiveUp => self.director.message(Message::GiveUp { client }),
             Step::Drain => self.list(first, |m| m.lifecycle = Lifecycle::Draining),
             Step::Remove => self.list(first, |m| m.lifecycle = Lifecycle::Gone),
-            Step::Return => self.list(first, |m| (m.lifecycle, m.cell) = (Lifecycle::Ready, m.cell + 10)),
+            Step::Relist => self.list(first, |m| (m.lifecycle, m.cell) = (Lifecycle::Ready, m.cell + 10)),
             Step::PurgeObject => self.purge(PurgeTarget::Object(OBJECT), 0),
             Step::PurgeGroup => self.purge(PurgeTarget::Group(GROUP), 0),
-            Step::PurgeLately => self.purge(PurgeTarget::Object(OBJECT), COPY_AGE + 500 * MS),
-            Step::LeaseOut => self.feed.0.set(true),
-            Step::CopyDisplaced => self.director.message(Message::CopyMemory(0)),
-            Step::CopyAged => self.pass_to(self.came + COPY_LEFT + MS),
-            Step::WindowOver => self.pass_to(self.came + WINDOW + SLACK + MS),
+            Step::LatePurge => self.purge(PurgeTarget::Object(OBJECT), COPY_AGE + 500 * MS),
+            Step::LeaseExpired => self.feed.0.set(true),
+            Step::CopyEvicted => self.director.message(Message::CopyMemory(0)),
+            Step::CopyAged => self.advance_to(self.received_at + COPY_TIME_LEFT + MS),
+            Step::WindowExpired => self.advance_to(self.received_at + WINDOW + WINDOW_TOLERANCE + MS),
             Step::NextTimer => {
                 let next = self.director.next_timer().unwrap_or(self.now());
-                self.pass_to(next.max(self.now()));
+                self.advance_to(next.max(self.now()));
             }
         }
-        self.look();
+        self.process_output();
     }
 
-    fn pass_to(&mut self, time: Micros) {
+    fn advance_to(&mut self, time: Micros) {
         while let Some(due) = self.director.next_timer().filter(|due| *due <= time) {
             self.time.set(due.max(self.now()));
             self.director.timers();
-            self.look();
+            self.process_output();
         }
         self.time.set(time.max(self.now()));
         self.director.timers();
@@ -454,8 +455,8 @@
         if !self.state.allows(&sent.attempt, sent.member) {
             return self.end_attempt(index, Ending::NeverSent);
         }
-        if let Some(fault) = self.fault_of_writing(index) {
-            self.breaks(fault);
+        if let Some(violation) = self.check_write(index) {
+            self.record_violation(violation);
         }
         let now = self.now();
         self.sent[index].written = Some(now);
@@ -463,7 +464,7 @@
     }
 
     /// Checks the rules for sending and repeating; returns the violation, if any.
-    fn fault_of_writing(&self, index: usize) -> Option<&'static str> {
+    fn check_write(&self, index: usize) -> Option<&'static str> {
         let (now, sent) = (self.now(), &self.sent[index]);
         let others = || self.sent.iter().enumerate().filter(|(i, _)| *i != index).map(|(_, other)| other);
         let first_run = others().filter(|other| other.may_have_run()).min_by_key(|other| other.written);
@@ -473,10 +474,10 @@
         if self.not_ready_since.get(&sent.member).is_some_and(|since| now > since + DRAIN_GRACE) {
             return Some("sent to a draining or gone member");
         }
-        if others().filter(|other| other.written.is_some()).count() >= self.case.tries {
+        if others().filter(|other| other.written.is_some()).count() >= self.case.max_attempts {
             return Some("sent more often than the settings allow");
         }
-        if !self.case.second_copies && others().any(Sent::is_out) {
+        if !self.case.second_copies && others().any(Sent::is_in_flight) {
             return Some("two attempts out where one is allowed");
         }
         match (self.case.repeats, first_run) {
@@ -486,15 +487,18 @@
                 return Some("sent again outside the group of the first that may have run");
             }
             (Repeats::InItsCell, Some(first))
-                if first.written.is_some_and(|at| now > at + WINDOW + SLACK) =>
+                if first.written.is_some_and(|at| now > at + WINDOW + WINDOW_TOLERANCE) =>
             {
                 return Some("sent again after the window");
             }
             (Repeats::InItsCell, Some(_)) => {}
         }
         let limit = sent.attempt.options.max_age.unwrap_or(FRESH + STALE);
-        let heeded = |(told, at): &(Micros, Micros)| now > told + HEED_PURGES && now <= at + CLEARED;
-        if !self.case.write && self.purges.iter().any(|p| heeded(p) && now.saturating_sub(limit) < p.1 - MS) {
+        let is_in_force =
+            |(told, at): &(Micros, Micros)| now > told + PURGE_GRACE && now <= at + PURGE_COMPLETE;
+        if !self.case.write
+            && self.purges.iter().any(|p| is_in_force(p) && now.saturating_sub(limit) < p.1 - MS)
+        {
             return Some("asked for a copy that is older than a purge");
         }
         (!self.case.write && self.feed.0.get() && limit > LEASE)
@@ -511,7 +515,7 @@
     }
 
     /// Processes the orders and answers that the director has given.
-    fn look(&mut self) {
+    fn process_output(&mut self) {
         for (member, mailbox) in &*self.mailboxes.borrow() {
             while let Ok(order) = mailbox.try_recv() {
                 match order {
@@ -519,30 +523,34 @@
                         let cell = self.members.get(member).map_or(0, |m| m.cell);
                         let (written, ended, given_up) = (None, None, false);
                         let sent = Sent { attempt, member: *member, cell, written, ended, given_up };
-                        self.story.push(format!("  attempt {} at member {}", self.sent.len(), member.0));
+                        self.trace.push(format!("  attempt {} at member {}", self.sent.len(), member.0));
                         self.sent.push(sent);
                     }
                     Order::GiveUp(attempt, _) => {
-                        let own = |s: &&mut Sent| s.attempt.ticket == attempt.ticket;
-                        self.sent.iter_mut().filter(own).for_each(|s| s.given_up = true);
+                        let is_this = |s: &&mut Sent| s.attempt.ticket == attempt.ticket;
+                        self.sent.iter_mut().filter(is_this).for_each(|s| s.given_up = true);
                     }
                     _ => {}
                 }
             }
         }
-        let answers: Vec<Verdict> = self.client.answers.borrow()[self.judged..].to_vec();
-        self.judged += answers.len();
+        let answers: Vec<Verdict> = self.client.answers.borrow()[self.answers_checked..].to_vec();
+        self.answers_checked += answers.len();
         for verdict in answers {
-            self.story.push(format!("  {} ms: answer {}", (self.now() - self.came) / MS, verdict.name()));
-            if let Some(fault) = self.fault_of_answer(&verdict) {
-                self.breaks(fault);
+            self.trace.push(format!(
+                "  {} ms: answer {}",
+                (self.now() - self.received_at) / MS,
+                verdict.name()
+            ));
+            if let Some(violation) = self.check_answer(&verdict) {
+                self.record_violation(violation);
             }
             self.closed = true;
         }
     }
 
     /// Checks the rules for final answers; returns the violation, if any.
-    fn fault_of_answer(&self, verdict: &Verdict) -> Option<&'static str> {
+    fn check_answer(&self, verdict: &Verdict) -> Option<&'static str> {
         let now = self.now();
         if self.closed {
             return Some("a second final answer, or one that nobody is owed");
@@ -552,23 +560,24 @@
         }
         match verdict {
             Verdict::Refused(_) => {
-                let ran = self.case.repeats != Repeats::Freely && self.sent.iter().any(Sent::may_have_run);
-                ran.then_some("refused what may have run")
+                let may_have_run =
+                    self.case.repeats != Repeats::Freely && self.sent.iter().any(Sent::may_have_run);
+                may_have_run.then_some("refused what may have run")
             }
             Verdict::Served(body) if body == OWN_BODY => {
-                let old = self.came - self.copy_stamp >= FRESH + STALE;
+                let old = self.received_at - self.copy_stamp >= FRESH + STALE;
                 let purged = self
                     .purges
                     .iter()
-                    .any(|(told, at)| *told <= now.saturating_sub(HEED_PURGES) && self.copy_stamp <= *at);
+                    .any(|(told, at)| *told <= now.saturating_sub(PURGE_GRACE) && self.copy_stamp <= *at);
                 let unconfirmed = self.feed.0.get() && now - self.copy_stamp >= LEASE;
-                let faults = [
+                let violations = [
                     (self.case.write, "a write served from a copy"),
                     (old, "a copy that was too old when the request came"),
                     (purged, "a purged copy"),
                     (unconfirmed, "a copy that may be purged"),
                 ];
-                faults.into_iter().find(|(broken, _)| *broken).map(|(_, fault)| fault)
+                violations.into_iter().find(|(violated, _)| *violated).map(|(_, violation)| violation)
             }
             Verdict::Served(_) => {
                 let served = self.sent.iter().any(|s| s.ended == Some(Ending::Served));
@@ -579,26 +588,26 @@
         }
     }
 
-    fn breaks(&mut self, fault: &str) {
-        if self.broken.is_none() {
-            self.broken = Some(format!("{fault}\n{:?}\n{}", self.case, self.story.join("\n")));
+    fn record_violation(&mut self, violation: &str) {
+        if self.violation.is_none() {
+            self.violation = Some(format!("{violation}\n{:?}\n{}", self.case, self.trace.join("\n")));
         }
     }
 
     /// Lets the time pass until the request must have been answered. Returns the first violation, with the
     /// sequence of events.
-    pub fn run_out(mut self) -> Result<(), String> {
+    pub fn finish(mut self) -> Result<(), String> {
         let end = self.deadline() + ANSWER_GRACE;
-        self.pass_to(end.max(self.now()));
-        self.look();
+        self.advance_to(end.max(self.now()));
+        self.process_output();
         if !self.closed {
-            self.breaks("no final answer in its time");
+            self.record_violation("no final answer in its time");
         }
         // The module keeps its own history of the attempts, which must agree with the director's.
         if self.counters.refusals(RefusalReason::Unproven) > 0 {
-            self.breaks("the module would have refused what may have run");
+            self.record_violation("the module would have refused what may have run");
         }
-        self.broken.take().map_or(Ok(()), Err)
+        self.violation.take().map_or(Ok(()), Err)
     }
 }
 
@@ -612,10 +621,10 @@
 }
 
 /// If the program panics, prints the sequence of events that led to it.
-impl Drop for Play {
+impl Drop for Simulation {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("{:?}\n{}", self.case, self.story.join("\n"));
+            eprintln!("{:?}\n{}", self.case, self.trace.join("\n"));
         }
     }
 }
--- a/silverspindle/tests/every_order.rs
+++ b/silverspindle/tests/every_order.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use bitternhold::settings::SiteSettings;
-use common::orders::{Case, Play, Repeats, Step};
+use common::orders::{Case, Repeats, Simulation, Step};
 use serde_json::{Value, json};
 
 /// Maximum number of events in a sequence. The incident that this test guards against needs three: an attempt
@@ -16,7 +16,7 @@
 const DEPTH: usize = 5;
 
 /// Number of attempts that a request may have.
-const TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// The combinations of class and limits that are tested.
 fn cases() -> Vec<Case> {
@@ -24,7 +24,7 @@
     for repeats in [Repeats::Freely, Repeats::InItsCell, Repeats::Never] {
         for second_copies in [true, false] {
             for (write, own_copy) in [(false, true), (false, false), (true, false)] {
-                cases.push(Case { repeats, write, second_copies, own_copy, tries: TRIES });
+                cases.push(Case { repeats, write, second_copies, own_copy, max_attempts: MAX_ATTEMPTS });
             }
         }
     }
@@ -39,60 +39,61 @@
 /// violation.
 fn explore(
     case: Case,
-    program: &Rc<SiteSettings>,
+    settings: &Rc<SiteSettings>,
     path: &mut Vec<Step>,
     depth: usize,
 ) -> Result<u64, String> {
-    let mut play = Play::start(case, program);
-    path.iter().for_each(|step| play.take(*step));
-    let steps = if path.len() < depth { play.steps() } else { Vec::new() };
-    play.run_out()?;
+    let mut simulation = Simulation::start(case, settings);
+    path.iter().for_each(|step| simulation.perform(*step));
+    let steps = if path.len() < depth { simulation.possible_steps() } else { Vec::new() };
+    simulation.finish()?;
     let mut played = 1;
     for step in steps {
         path.push(step);
-        played += explore(case, program, path, depth)?;
+        played += explore(case, settings, path, depth)?;
         path.pop();
     }
     Ok(played)
 }
 
 /// The least depth at which a sequence violates a rule, with the description of the violation.
-fn shallowest_fault(case: Case, program: &Value, most: usize) -> Option<(usize, String)> {
-    let program = site(program);
-    let faults = (1..=most).map(|depth| (depth, explore(case, &program, &mut Vec::new(), depth).err()));
-    faults.filter_map(|(depth, fault)| fault.map(|story| (depth, story))).next()
+fn shallowest_violation(case: Case, settings: &Value, max_depth: usize) -> Option<(usize, String)> {
+    let settings = site(settings);
+    let violations =
+        (1..=max_depth).map(|depth| (depth, explore(case, &settings, &mut Vec::new(), depth).err()));
+    violations.filter_map(|(depth, violation)| violation.map(|description| (depth, description))).next()
 }
 
 #[test]
-fn every_order_of_a_requests_events_keeps_the_rules() {
-    let began = Instant::now();
-    let played: Vec<(Case, Result<u64, String>)> = std::thread::scope(|scope| {
-        let play =
+fn every_order_of_a_requests_events_satisfies_the_rules() {
+    let started = Instant::now();
+    let results: Vec<(Case, Result<u64, String>)> = std::thread::scope(|scope| {
+        let start =
             |case: Case| scope.spawn(move || explore(case, &site(&case.settings()), &mut Vec::new(), DEPTH));
-        let running: Vec<_> = cases().into_iter().map(|case| (case, play(case))).collect();
+        let running: Vec<_> = cases().into_iter().map(|case| (case, start(case))).collect();
         running.into_iter().map(|(case, run)| (case, run.join().unwrap())).collect()
     });
-    let mut all = 0;
-    for (case, result) in played {
+    let mut total = 0;
+    for (case, result) in results {
         match result {
             Ok(played) => {
                 println!("{case:?}: {played} sequences");
-                all += played;
+                total += played;
             }
-            Err(story) => panic!("{story}"),
+            Err(description) => panic!("{description}"),
         }
     }
-    println!("{all} sequences of up to {DEPTH} events in {:?}", began.elapsed());
+    println!("{total} sequences of up to {DEPTH} events in {:?}", started.elapsed());
 }
 
 /// Depth up to which the tests search for a violation when a guard is disabled.
-const SHALLOW: usize = 3;
+const SHALLOW_DEPTH: usize = 3;
 
 #[test]
-fn every_order_of_three_events_keeps_the_rules() {
+fn every_order_of_three_events_satisfies_the_rules() {
     for case in cases() {
-        if let Some((depth, story)) = shallowest_fault(case, &case.settings(), SHALLOW) {
-            panic!("at a depth of {depth}: {story}");
+        if let Some((depth, description)) = shallowest_violation(case, &case.settings(), SHALLOW_DEPTH) {
+            panic!("at a depth of {depth}: {description}");
         }
     }
 }
@@ -100,30 +101,35 @@
 /// Runs the test above with a guard disabled by an environment variable (debug builds only) and expects it to
 /// fail. The second guard, `own_copy_loss`, brings the fault of the incident back.
 #[test]
-fn a_refusal_without_proof_is_found() {
+fn disabling_a_refusal_guard_is_detected() {
     for (guard, depth) in [("refusal_proof", 2), ("own_copy_loss", 3)] {
-        let out = Command::new(std::env::current_exe().unwrap())
-            .args(["--exact", "every_order_of_three_events_keeps_the_rules"])
+        let process = Command::new(std::env::current_exe().unwrap())
+            .args(["--exact", "every_order_of_three_events_satisfies_the_rules"])
             .env("SILVERSPINDLE_WITHOUT", guard)
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&out.stderr) + String::from_utf8_lossy(&out.stdout);
-        let found = format!("at a depth of {depth}: refused what may have run");
-        assert!(!out.status.success() && said.contains(&found), "without {guard}: {said}");
+        let output = String::from_utf8_lossy(&process.stderr) + String::from_utf8_lossy(&process.stdout);
+        let expected = format!("at a depth of {depth}: refused what may have run");
+        assert!(!process.status.success() && output.contains(&expected), "without {guard}: {output}");
     }
 }
 
 /// Name of a guard, the case that is checked, the change that gives the program weaker settings, and the
 /// expected violation.
-type WithoutGuard = (&'static str, Case, fn(&mut Value), &'static str);
+type WeakenedCase = (&'static str, Case, fn(&mut Value), &'static str);
 
 /// A program with weaker settings than the checked case behaves like one without the guard for them; the
 /// checker has to find the violation.
 #[test]
-fn a_program_without_a_guard_is_found() {
-    let case =
-        |repeats, write, second_copies| Case { repeats, write, second_copies, own_copy: write, tries: TRIES };
-    let guards: [WithoutGuard; 6] = [
+fn weakened_settings_are_detected() {
+    let case = |repeats, write, second_copies| Case {
+        repeats,
+        write,
+        second_copies,
+        own_copy: write,
+        max_attempts: MAX_ATTEMPTS,
+    };
+    let guards: [WeakenedCase; 6] = [
         (
             "window",
             case(Repeats::InItsCell, false, true),
@@ -150,7 +156,7 @@
         ),
         (
             "tries",
-            Case { tries: 1, ..case(Repeats::Freely, false, false) },
+            Case { max_attempts: 1, ..case(Repeats::Freely, false, false) },
             |settings| settings["limits"]["try_limit"] = json!(8),
             "sent more often",
         ),
@@ -161,12 +167,12 @@
             "a write served from a copy",
         ),
     ];
-    for (guard, case, take_out, fault) in guards {
-        let mut program = case.settings();
-        take_out(&mut program);
-        let found = shallowest_fault(case, &program, SHALLOW);
-        let (depth, story) = found.unwrap_or_else(|| panic!("without {guard}: not found"));
+    for (guard, case, weaken, violation) in guards {
+        let mut settings = case.settings();
+        weaken(&mut settings);
+        let found = shallowest_violation(case, &settings, SHALLOW_DEPTH);
+        let (depth, description) = found.unwrap_or_else(|| panic!("without {guard}: no violation found"));
         println!("without {guard}: found at a depth of {depth}");
-        assert!(story.starts_with(fault), "without {guard}: {story}");
+        assert!(description.starts_with(violation), "without {guard}: {description}");
     }
 }
--- a/silverspindle/tests/purges.rs
+++ b/silverspindle/tests/purges.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn play(options: &Options) -> Outcome {
+fn run(options: &Options) -> Outcome {
     let tasks = Rc::new(LocalExecutor::new());
     async_io::block_on(tasks.run(purges::play(&tasks, options))).unwrap()
 }
@@ -44,7 +44,7 @@
 /// young copies only; the routers of a zone are killed together; a connection breaks in the middle of a
 /// frame; a link works in one direction only.
 #[test]
-fn routers_below_relays_that_die_and_stall_keep_to_order_stated_time_and_staffs_word() {
+fn purges_keep_order_deadline_and_confirmations_while_relays_and_routers_fail() {
     let script = "\
         0.5s 2s kill r0\n\
         1s 8s split n1\n\
@@ -53,42 +53,42 @@
         7s 0s tear n0 r0\n\
         8s 1s mute n3 r1\n";
     let options = options(TREE, 10, script);
-    let outcome = play(&options);
-    let told = purges::report(&options, &outcome);
-    assert!(outcome.is_good(), "{told}");
+    let outcome = run(&options);
+    let report = purges::report(&options, &outcome);
+    assert!(outcome.is_good(), "{report}");
     let found = &outcome.findings;
-    assert!(found.applied > 100 && found.everywhere > 10, "{told}");
-    assert!(found.attempts.get("safe").is_some_and(|count| *count > 0), "{told}");
+    assert!(found.applied > 100 && found.everywhere > 10, "{report}");
+    assert!(found.attempts.get("safe").is_some_and(|count| *count > 0), "{report}");
 }
 
 /// A source is frozen, then killed; the coordinator goes silent; another source keeps running.
 #[test]
-fn sources_that_die_and_stall_and_a_silent_coordinator_break_no_promise() {
+fn purges_keep_their_guarantees_while_sources_fail_and_the_coordinator_is_silent() {
     let script = "0.5s 3s freeze s0\n4s 1.5s kill s0\n6s 3s silence\n";
     let options = options(Tree { sources: 2, relays: 2, routers: 3 }, 10, script);
-    let outcome = play(&options);
+    let outcome = run(&options);
     assert!(outcome.is_good(), "{}", purges::report(&options, &outcome));
 }
 
 /// Tests the checker itself: with routers that ignore the age of their last confirmation, it finds the
 /// attempts that a cut off router sent on an outdated feed. The guard can be disabled in a debug build only.
 #[test]
-fn without_the_fence_the_records_show_the_breach() {
+fn the_checker_detects_a_router_without_the_lease_fence() {
     if !cfg!(debug_assertions) {
         return;
     }
     let mut options = options(TREE, 10, "0.5s 9s split n1\n");
     options.without = Some("fence");
-    let broken = play(&options);
-    let told = purges::report(&options, &broken);
-    assert!(broken.findings.worst > options.stated() && !broken.findings.breaches.is_empty(), "{told}");
-    assert!(broken.findings.breaches.iter().all(|breach| breach.starts_with("n1 ")), "{told}");
+    let outcome = run(&options);
+    let report = purges::report(&options, &outcome);
+    assert!(outcome.findings.worst > options.stated() && !outcome.findings.breaches.is_empty(), "{report}");
+    assert!(outcome.findings.breaches.iter().all(|breach| breach.starts_with("n1 ")), "{report}");
 }
 
 /// Twenty hollow routers in two processes, each with its own certificate and connection: every purge reaches
 /// all of them, and this is confirmed to staff.
 #[test]
-fn hollow_routers_take_every_purge_and_staff_are_told() {
+fn hollow_routers_receive_every_purge_and_staff_get_confirmations() {
     let options = hollow::Options {
         program: program(),
         routers: 20,
--- a/silverspindle/tests/refusals.rs
+++ b/silverspindle/tests/refusals.rs
@@ -33,17 +33,17 @@
 /// that the module asks the caches first (over half the aim, [`AIM_MS`]) and can still serve the copy in time
 /// after an attempt that failed at once.
 const BODY: usize = 200_000;
-const FLOW: u64 = BODY as u64 / 12;
+const TRANSFER_RATE: u64 = BODY as u64 / 12;
 const AIM_MS: u64 = 20_000;
 /// Total time for which a copy may be served, fresh and stale.
-const GOOD_FOR: Duration = Duration::from_secs(10);
+const COPY_LIFETIME: Duration = Duration::from_secs(10);
 /// Memory limit of the router.
 const MEMORY_MB: u64 = 16;
 /// Number of other answers that evict the copy: twice as many as fill an eighth of the router's memory.
-const DISPLACING: usize = 2 * MEMORY_MB as usize * 1_000_000 / 8 / BODY;
+const EVICTING_ANSWERS: usize = 2 * MEMORY_MB as usize * 1_000_000 / 8 / BODY;
 /// Time after a purge by which the caches have dropped older copies themselves; a purge received later than
 /// that is late.
-const CLEARED_MS: u64 = 1000;
+const PURGE_COMPLETE_MS: u64 = 1000;
 
 const OBJECT: &str = "7f3a9c21e0b4d655";
 const TAG: &str = "4be0c1927d55a6f3";
@@ -51,9 +51,9 @@
 /// How the own copy is lost between the arrival of the request and the end of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
-    Displaced,
-    PurgedLately,
-    Aged,
+    Evicted,
+    LatePurge,
+    Expired,
 }
 
 /// How the attempt ends.
@@ -61,17 +61,17 @@
 enum AttemptEnd {
     Error,
     Reset,
-    HalfAnAnswer,
+    IncompleteAnswer,
 }
 
 /// The class of the requests: a read that may run only once, or be repeated in one cell only.
-fn delicate_class(effect: &str, group: &str) -> serde_json::Value {
+fn restricted_class(effect: &str, group: &str) -> serde_json::Value {
     json!({"name": "page", "idempotency": effect, "group": group, "slo_ms": AIM_MS,
         "deadline_ms": 30000.0, "window_ms": 2000.0})
 }
 
 /// The router process with a cache, a coordinator and a client.
-struct Scene {
+struct Harness {
     router: Router,
     cache: Cache,
     coordinator: Stream,
@@ -79,20 +79,20 @@
     sequence: i32,
 }
 
-impl Scene {
+impl Harness {
     async fn start(tasks: &Tasks, class: serde_json::Value) -> Self {
         let (listener, address) = listen();
         let cache = Cache::start(tasks);
         let mut file =
             configuration(&[entry(1, "box", cache.address), entry(99, "origin", address)], address);
         file["limits"]["memory_mb"] = MEMORY_MB.into();
-        file["flow_bytes_per_s"] = FLOW.into();
-        file["link_bytes_per_s"] = (4 * FLOW).into();
+        file["flow_bytes_per_s"] = TRANSFER_RATE.into();
+        file["link_bytes_per_s"] = (4 * TRANSFER_RATE).into();
         let settings = &mut file["settings"];
         settings["classes"] = json!([class, settings["classes"][1]]);
-        settings["family_info"]["fresh_for_ms"] = json!([GOOD_FOR.as_millis() as u64 / 2, 0]);
-        settings["family_info"]["stale_for_ms"] = json!([GOOD_FOR.as_millis() as u64 / 2, 0]);
-        settings["family_info"]["cleared_within_ms"] = CLEARED_MS.into();
+        settings["family_info"]["fresh_for_ms"] = json!([COPY_LIFETIME.as_millis() as u64 / 2, 0]);
+        settings["family_info"]["stale_for_ms"] = json!([COPY_LIFETIME.as_millis() as u64 / 2, 0]);
+        settings["family_info"]["cleared_within_ms"] = PURGE_COMPLETE_MS.into();
         let debug = ("LB_LOG", Path::new("debug"));
         let router = start_with(&file, &format!("{}:0", ip()), &std::env::temp_dir(), &[debug]);
         let (coordinator, _) = listener.accept().await.unwrap();
@@ -101,7 +101,7 @@
     }
 
     /// Sends a request for an object and returns its sequence number.
-    async fn ask(&mut self, object: &str) -> i32 {
+    async fn send_request(&mut self, object: &str) -> i32 {
         self.sequence += 1;
         let rid = format!("{:016x}", self.sequence);
         let mut fields: Vec<(&str, &str)> = page("");
@@ -112,7 +112,7 @@
     }
 
     /// Answers the next command with a copy that the origin issued at this time.
-    async fn hit(&self, stamp: Stamp) {
+    async fn answer_with_hit(&self, stamp: Stamp) {
         let (want, line) = self.cache.next().await;
         let named = format!("version={TAG},stamp={},why=warm", stamp.as_micros() / 1000);
         reply(&line, &[&want[1], "HIT", &named, &body()]).await;
@@ -122,16 +122,16 @@
         self.client.next().await.expect("an answer")
     }
 
-    async fn lose_the_copy(&mut self, loss: Loss, stamp: Stamp) {
+    async fn lose_copy(&mut self, loss: Loss, stamp: Stamp) {
         match loss {
-            Loss::Displaced => {
-                for n in 0..DISPLACING {
-                    self.ask(&format!("{:016x}", 7919 * (n + 1))).await;
-                    self.hit(Stamp::now()).await;
+            Loss::Evicted => {
+                for n in 0..EVICTING_ANSWERS {
+                    self.send_request(&format!("{:016x}", 7919 * (n + 1))).await;
+                    self.answer_with_hit(Stamp::now()).await;
                     assert!(self.next_answer().await.len() > BODY, "served");
                 }
             }
-            Loss::PurgedLately => {
+            Loss::LatePurge => {
                 let mut purge = u64::from_str_radix(OBJECT, 16).unwrap().to_be_bytes().to_vec();
                 purge.extend((stamp.as_micros() / 1000).to_be_bytes());
                 (&*self.coordinator).write_all(&event(2, 3, &purge)).await.unwrap();
@@ -141,9 +141,9 @@
                 (&*self.coordinator).write_all(&event(3, 2, &list)).await.unwrap();
                 assert!(self.router.lines.any(|line| line.contains("list: 1 entries")));
             }
-            Loss::Aged => {
+            Loss::Expired => {
                 let age = Duration::from_micros(stamp.age(Stamp::now().as_micros()));
-                Timer::after(GOOD_FOR.saturating_sub(age) + Duration::from_millis(2)).await;
+                Timer::after(COPY_LIFETIME.saturating_sub(age) + Duration::from_millis(2)).await;
             }
         }
     }
@@ -154,7 +154,7 @@
         match end {
             AttemptEnd::Error => reply(&line, &[&want[1], "FAULT", "-", ""]).await,
             AttemptEnd::Reset => line.get_ref().shutdown(std::net::Shutdown::Both).unwrap(),
-            AttemptEnd::HalfAnAnswer => {
+            AttemptEnd::IncompleteAnswer => {
                 let whole =
                     silverspindle::resp::encode_array(&[want[1].as_bytes(), b"HIT", NAMED.as_bytes()]);
                 (&*line).write_all(&whole[..whole.len() / 2]).await.unwrap();
@@ -171,26 +171,26 @@
 /// The answer that the client gets when the copy is lost and the attempt may have run.
 fn answer_after(class: serde_json::Value, loss: Loss, end: AttemptEnd) -> (i32, Bytes) {
     run(async |tasks| {
-        let mut scene = Scene::start(tasks, class.clone()).await;
-        // Old enough for a late purge; for `Loss::Aged` the copy has a few seconds left.
-        let age = if loss == Loss::Displaced { Duration::ZERO } else { GOOD_FOR * 6 / 10 };
+        let mut harness = Harness::start(tasks, class.clone()).await;
+        // Old enough for a late purge; for `Loss::Expired` the copy has a few seconds left.
+        let age = if loss == Loss::Evicted { Duration::ZERO } else { COPY_LIFETIME * 6 / 10 };
         let stamp = Stamp::from_micros(Stamp::now().as_micros() - age.as_micros() as u64);
-        scene.ask(OBJECT).await;
-        scene.hit(stamp).await;
-        assert!(scene.next_answer().await.len() > BODY, "served");
-        let sequence = scene.ask(OBJECT).await;
+        harness.send_request(OBJECT).await;
+        harness.answer_with_hit(stamp).await;
+        assert!(harness.next_answer().await.len() > BODY, "served");
+        let sequence = harness.send_request(OBJECT).await;
         // The cache keeps this attempt unanswered until the copy is lost.
-        let held = scene.cache.next().await;
-        scene.lose_the_copy(loss, stamp).await;
-        scene.cache.put_back(held);
-        scene.end_attempt(end).await;
-        let answer = scene.next_answer().await;
-        drop(scene.router);
+        let held = harness.cache.next().await;
+        harness.lose_copy(loss, stamp).await;
+        harness.cache.put_back(held);
+        harness.end_attempt(end).await;
+        let answer = harness.next_answer().await;
+        drop(harness.router);
         (sequence, answer)
     })
 }
 
-const ENDS: [AttemptEnd; 3] = [AttemptEnd::Error, AttemptEnd::Reset, AttemptEnd::HalfAnAnswer];
+const ENDS: [AttemptEnd; 3] = [AttemptEnd::Error, AttemptEnd::Reset, AttemptEnd::IncompleteAnswer];
 
 fn is_refused(sequence: i32, answer: &[u8]) -> bool {
     answer == thrift::encode_throttled(sequence, None) || backoff_advice(answer, sequence).is_some()
@@ -199,11 +199,11 @@
 /// A copy that was usable when the request came stays usable for it: it is not evicted, and its age is
 /// counted up to the request's arrival.
 #[test]
-fn a_copy_that_is_displaced_or_ages_while_an_attempt_is_out_still_answers() {
-    let displaced = ENDS.map(|end| ("at_most_once", "all", Loss::Displaced, end));
-    let aged = [("deduplicated", "cell", Loss::Aged, AttemptEnd::Error)];
-    for (effect, group, loss, end) in displaced.into_iter().chain(aged) {
-        let (sequence, answer) = answer_after(delicate_class(effect, group), loss, end);
+fn a_copy_evicted_or_expired_while_an_attempt_is_in_flight_still_answers() {
+    let evicted = ENDS.map(|end| ("at_most_once", "all", Loss::Evicted, end));
+    let expired = [("deduplicated", "cell", Loss::Expired, AttemptEnd::Error)];
+    for (effect, group, loss, end) in evicted.into_iter().chain(expired) {
+        let (sequence, answer) = answer_after(restricted_class(effect, group), loss, end);
         assert!(!is_refused(sequence, &answer), "{loss:?}, {end:?}: refused, and it may have run");
         assert_eq!(answer, served_answer(sequence, body().as_bytes()), "{loss:?}, {end:?}");
     }
@@ -211,9 +211,9 @@
 
 /// A purged copy is not served, and a request that may have run is not refused: it fails.
 #[test]
-fn a_copy_that_is_purged_while_an_attempt_is_out_fails_the_request() {
+fn a_copy_purged_while_an_attempt_is_in_flight_fails_the_request() {
     for end in ENDS {
-        let (sequence, answer) = answer_after(delicate_class("at_most_once", "all"), Loss::PurgedLately, end);
+        let (sequence, answer) = answer_after(restricted_class("at_most_once", "all"), Loss::LatePurge, end);
         assert!(!is_refused(sequence, &answer), "{end:?}: refused, and it may have run");
         assert_eq!(answer, thrift::encode_broken(sequence), "{end:?}");
     }
