--- a/silverspindle/src/drain.rs
+++ b/silverspindle/src/drain.rs
@@ -83,7 +83,7 @@
     pub unread_until: Option<Micros>,
     /// The client was observed to read slowly.
     pub slow_reader: bool,
-    /// The client has sent a message on this connection.
+    /// A request or another message has come on this connection.
     pub had_request: bool,
     /// When the connection was accepted or last had activity.
     pub last_active: Micros,
--- a/silverspindle/tests/common/sender.rs
+++ b/silverspindle/tests/common/sender.rs
@@ -109,14 +109,14 @@
         *self.ended.borrow_mut() = Some((Instant::now(), end));
     }
 
-    /// Checks that the connection ended cleanly within `term`, and that each request that did not cross its end has
+    /// Checks that the connection ended cleanly within `limit`, and that each request that did not cross its end has
     /// exactly one answer.
-    pub fn check(&self, since: Instant, term: Duration) {
+    pub fn check(&self, since: Instant, limit: Duration) {
         let ended = self.ended.borrow();
-        let Some((at, how)) = &*ended else { panic!("held after {term:?}") };
+        let Some((at, how)) = &*ended else { panic!("held after {limit:?}") };
         let after = at.duration_since(since);
         how.as_ref().unwrap_or_else(|e| panic!("{e} after {after:?}"));
-        assert!(after < term, "held for {after:?}");
+        assert!(after < limit, "held for {after:?}");
         let answered = self.answered.borrow();
         for (seq, sent) in self.sent.borrow().iter().filter(|(_, sent)| **sent + CROSSES < *at) {
             let answers = answered.get(seq).copied().unwrap_or(0);
--- a/silverspindle/tests/drain_terms.rs
+++ b/silverspindle/tests/drain_terms.rs
@@ -13,9 +13,9 @@
 use common::*;
 
 /// Time after the request for a drain at which connections are checked.
-const TERM: Duration = Duration::from_secs(4);
+const CLOSE_DEADLINE: Duration = Duration::from_secs(4);
 /// Number of requests sent before the drain is requested.
-const WARM_UP: i32 = 4;
+const REQUESTS_BEFORE_DRAIN: i32 = 4;
 
 /// Drains a router while a client sends through it, and checks that its connection is closed in time.
 fn drains_in_time(client_behaviour: SenderBehaviour, cache_behaviour: CacheBehaviour) {
@@ -30,15 +30,16 @@
         let stream = Rc::new(Async::<std::net::TcpStream>::connect(router.clients).await.unwrap());
         let client = Rc::new(Sender::default());
         let traffic = tasks.spawn(client.clone().run(stream, client_behaviour));
-        while client.last.get() < WARM_UP {
+        while client.last.get() < REQUESTS_BEFORE_DRAIN {
             Timer::after(MS).await;
         }
         assert_eq!(put(&router, "/-/drain"), 200);
         let drained = Instant::now();
-        while !client.is_over() && drained.elapsed() < TERM {
+        while !client.is_over() && drained.elapsed() < CLOSE_DEADLINE {
             Timer::after(MS).await;
         }
-        let verdict = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| client.check(drained, TERM)));
+        let verdict =
+            std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| client.check(drained, CLOSE_DEADLINE)));
         drop(traffic);
         let _ = router.child.kill();
         let _ = router.child.wait();
--- a/wire/src/clock.rs
+++ b/wire/src/clock.rs
@@ -17,12 +17,12 @@
 use bitternhold::Micros;
 
 /// Start of the process clock: the monotonic clock and the wall clock (Unix microseconds) read at the same moment.
-static BEGINNING: OnceLock<(Instant, Micros)> = OnceLock::new();
+static CLOCK_START: OnceLock<(Instant, Micros)> = OnceLock::new();
 
 /// The current time on the process clock, in microseconds. It never steps.
 pub fn now() -> Micros {
-    let (began, unix) = BEGINNING.get_or_init(|| (Instant::now(), Stamp::now().0));
-    unix.saturating_add(began.elapsed().as_micros() as Micros)
+    let (start, unix) = CLOCK_START.get_or_init(|| (Instant::now(), Stamp::now().0));
+    unix.saturating_add(start.elapsed().as_micros() as Micros)
 }
 
 /// A timer that fires at a time of the process clock, or at once if that time is past.
