--- a/silverspindle/src/front/request.rs
+++ b/silverspindle/src/front/request.rs
@@ -2,15 +2,15 @@
 
 use std::cell::{Cell, RefCell};
 
-use bitternhold::settings::place;
-use bitternhold::{Effect, Micros};
+use bitternhold::settings::index_of;
+use bitternhold::{Idempotency, Micros};
 use bytes::Bytes;
 
 use super::Front;
 use crate::counters::RefusalReason;
 use crate::feed::parse_hex_id;
 use crate::thrift;
-use crate::traffic::{Call, Taken, Verdict};
+use crate::traffic::{BodyReservation, Call, Verdict};
 
 /// Maximum length in bytes of a text that is passed on to caches.
 const MOST_TEXT: usize = 128;
@@ -56,10 +56,10 @@
         };
         let named = |name: &str| given(name)?.filter(|t| parse_hex_id(t).is_some()).map(str::to_owned);
         let read = || {
-            let class = place(&self.catalogue.classes, given("method")?);
-            let terms = self.catalogue.settings.classes.get(class)?;
+            let class = index_of(&self.site.classes, given("method")?);
+            let terms = self.site.settings.classes.get(class)?;
             let token = passed("token")?;
-            if (terms.effect == Effect::Deduplicated && token.is_none())
+            if (terms.idempotency == Idempotency::Deduplicated && token.is_none())
                 || body.len() > if terms.write { thrift::MAX_WRITE_BODY } else { 0 }
             {
                 return None;
@@ -72,7 +72,7 @@
             // waits is accepted, as the deadline may be short or the object large, but the size is capped: it would
             // otherwise count in the class's mean sending time, by which just-started caches are spared, for a thousand
             // requests.
-            let flow = self.catalogue.settings.flow_kb_per_s;
+            let flow = self.site.settings.flow_kb_per_s;
             let believed = OVER_DEADLINE as f64 * terms.deadline as f64 / 1e6 * flow;
             let size_kb = match given("mem")? {
                 Some(text) if number(text)? > OVER_SIZE * believed && flow > 0.0 => return None,
@@ -87,13 +87,13 @@
                 part: whole("block", MOST_PART)?,
                 group: whole("family", 255)?,
                 size_kb,
-                token,
-                cached: passed("cached")?,
+                idempotency_key: token,
+                client_tag: passed("cached")?,
                 deadline: arrived + budget,
-                taken: Taken::new(&self.taken, body.len()),
+                body_reservation: BodyReservation::new(&self.taken, body.len()),
                 body: body.clone(),
-                over: Cell::new(false),
-                lines: RefCell::default(),
+                finished: Cell::new(false),
+                used_connections: RefCell::default(),
             })
         };
         let call = read().ok_or(Verdict::Failed)?;
--- a/silverspindle/src/traffic/account.rs
+++ b/silverspindle/src/traffic/account.rs
@@ -8,10 +8,10 @@
 use std::fmt;
 use std::rc::Rc;
 
-use bitternhold::{Class, DedupGroup, Effect, MemberId, Micros, Settings, Status};
+use bitternhold::{Class, DedupGroup, Idempotency, MemberId, Micros, Settings, Status};
 
 use super::{Attempt, Call};
-use crate::guards::{REFUSAL_PROOF, without};
+use crate::guards::{REFUSAL_PROOF, is_disabled};
 
 /// Proof that retrying a request does no harm.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
 
     /// Creates a proof without grounds if this guard is disabled, for tests of the checkers.
     pub(crate) fn unproven(guard: &str) -> Option<Self> {
-        without(guard).then_some(Self(()))
+        is_disabled(guard).then_some(Self(()))
     }
 }
 
@@ -76,7 +76,7 @@
     fn may_have_run(&self) -> bool {
         match &self.state {
             State::Out(attempt) => attempt.written.get(),
-            State::Ended(status, _) => !status.proves_never_ran(),
+            State::Ended(status, _) => !status.never_executed(),
         }
     }
 }
@@ -93,10 +93,10 @@
     /// The history of a request of this class without any attempts. An unknown class is treated as at most
     /// once.
     pub fn new(class: Option<&Class>) -> Self {
-        let freely = |c: &Class| match c.effect {
-            Effect::Idempotent => true,
-            Effect::Deduplicated => c.group == DedupGroup::All,
-            Effect::AtMostOnce => false,
+        let freely = |c: &Class| match c.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Deduplicated => c.dedup_group == DedupGroup::All,
+            Idempotency::AtMostOnce => false,
         };
         Self { repeats_freely: class.is_some_and(freely), entries: Vec::new() }
     }
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -9,7 +9,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use bitternhold::{Effect, Load, MemberId, Micros, Status};
+use bitternhold::{Idempotency, Load, MemberId, Micros, Status};
 use bytes::Bytes;
 use futures_lite::{AsyncWriteExt, future};
 use rustix::io::Errno;
@@ -17,7 +17,7 @@
 use crate::clock;
 use crate::framing::MessageReader;
 use crate::resp::{self, AnswerCode};
-use crate::traffic::{Attempt, Descriptor, End, Message, Shared};
+use crate::traffic::{Attempt, AttemptEnd, Descriptor, Message, Shared};
 
 /// Capacity of an actor's mailbox. Where it is full the director counts the attempt as never sent.
 pub const MAILBOX: usize = 256;
@@ -157,7 +157,7 @@
 
     async fn run(mut self) {
         // The sweep is due by the clock and not after an idle moment: a steady flow of messages must not postpone it.
-        let sweep_every = SWEEP.min(self.shared.catalogue.idle_close / IDLE_PART).max(SWEEP_LEAST);
+        let sweep_every = SWEEP.min(self.shared.site.idle_close / IDLE_PART).max(SWEEP_LEAST);
         let mut due = clock::now() + sweep_every;
         loop {
             let timer = clock::timer_at(due);
@@ -202,7 +202,7 @@
             Order::Retire => {
                 self.retired = true;
                 for attempt in self.close_lines() {
-                    self.end(End::bare(attempt.ticket, Status::Moot)).await;
+                    self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
                 }
             }
             Order::Up(line, socket) => {
@@ -212,16 +212,16 @@
             }
             Order::Answer(line, frame) => self.answer(line, frame).await,
             // The attempt has moved to another connection, which reports its end.
-            Order::Unwritten(line, attempt) if attempt.line.get() != line => {}
+            Order::Unwritten(line, attempt) if attempt.connection.get() != line => {}
             Order::Unwritten(line, attempt) => {
                 // Its id was never used on this connection, so a retry may use it; it is established by now and the
                 // best choice.
-                attempt.call.lines.borrow_mut().retain(|stood| *stood != (self.id, line));
+                attempt.call.used_connections.borrow_mut().retain(|stood| *stood != (self.id, line));
                 let own = |s: &Stream| matches!(s, Stream::Attempt(a, _) if a.ticket == attempt.ticket);
                 if let Some(line) = self.lines.get_mut(&line) {
                     line.streams.retain(|_, stream| !own(stream));
                 }
-                self.end(End::bare(attempt.ticket, Status::Moot)).await;
+                self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
             }
             Order::Down(line, why) => self.down(line, &why).await,
         }
@@ -235,7 +235,7 @@
             line.closing = true;
             line.streams.retain(|_, stream| match stream {
                 Stream::Attempt(attempt, _) if !attempt.written.get() => {
-                    attempt.line.set(0);
+                    attempt.connection.set(0);
                     unwritten.push(attempt.clone());
                     false
                 }
@@ -251,14 +251,16 @@
         self.mailbox.close();
         while let Ok(order) = self.mailbox.try_recv() {
             match order {
-                Order::Send(attempt) => self.end(End::bare(attempt.ticket, Status::Moot)).await,
+                Order::Send(attempt) => {
+                    self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await
+                }
                 Order::Probe => self.probed(Status::ConnectFailed, 0, None).await,
                 _ => {}
             }
         }
     }
 
-    async fn end(&self, end: End) {
+    async fn end(&self, end: AttemptEnd) {
         let _ = self.shared.director.send(Message::Ended(end)).await;
     }
 
@@ -270,16 +272,17 @@
     /// told apart. A connection that the peer may be about to close is not chosen, with a wider margin for classes that
     /// may not be repeated.
     fn line_for(&mut self, id: &[u8], attempt: Option<&Attempt>) -> Option<u64> {
-        let streams = self.shared.catalogue.streams_per_conn;
+        let streams = self.shared.site.streams_per_conn;
         let (now, idle, me) = (clock::now(), self.idle(), self.id);
-        let classes = &self.shared.catalogue.settings.classes;
-        let once =
-            attempt.is_some_and(|a| classes.get(a.call.class).is_none_or(|c| c.effect == Effect::AtMostOnce));
+        let classes = &self.shared.site.settings.classes;
+        let once = attempt.is_some_and(|a| {
+            classes.get(a.call.class).is_none_or(|c| c.idempotency == Idempotency::AtMostOnce)
+        });
         let idle = if once { idle / 4 } else { idle };
         let takes = |n: u64, l: &Line| {
             l.streams.len() < streams
                 && (!l.streams.is_empty() || now.saturating_sub(l.last_used) < idle)
-                && !attempt.is_some_and(|a| a.call.lines.borrow().contains(&(me, n)))
+                && !attempt.is_some_and(|a| a.call.used_connections.borrow().contains(&(me, n)))
                 && !l.silent
                 && !l.closing
                 && !l.streams.contains_key(id)
@@ -290,8 +293,8 @@
         let able = self.lines.iter().filter(|(n, l)| takes(**n, l));
         let found = able.min_by_key(|(n, l)| (l.streams.len(), !l.up, **n));
         let found = found.map(|(n, l)| (*n, l.streams.len()));
-        let plenty = self.shared.descriptors.are_plenty();
-        let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.catalogue.handshake_price;
+        let plenty = self.shared.descriptors.has_spare();
+        let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.site.handshake_cost;
         match found {
             Some((n, streams)) if streams == 0 || !plenty || cheaper(streams) => return Some(n),
             _ => {}
@@ -335,17 +338,17 @@
     async fn send(&mut self, attempt: Rc<Attempt>) {
         let id = Bytes::copy_from_slice(attempt.call.rid.as_bytes());
         let line =
-            if attempt.dropped.get() || self.retired { None } else { self.line_for(&id, Some(&attempt)) };
+            if attempt.abandoned.get() || self.retired { None } else { self.line_for(&id, Some(&attempt)) };
         let Some((number, line)) = line.and_then(|n| Some((n, self.lines.get_mut(&n)?))) else {
-            return self.end(End::bare(attempt.ticket, Status::Moot)).await;
+            return self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
         };
         let now = clock::now();
         line.last_used = now;
-        attempt.line.set(number);
-        attempt.call.lines.borrow_mut().push((self.id, number));
+        attempt.connection.set(number);
+        attempt.call.used_connections.borrow_mut().push((self.id, number));
         match line.commands.try_send(Command::Want(attempt.clone())) {
             Ok(()) => drop(line.streams.insert(id, Stream::Attempt(attempt, now))),
-            Err(_) => self.end(End::bare(attempt.ticket, Status::Moot)).await,
+            Err(_) => self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await,
         }
     }
 
@@ -417,7 +420,7 @@
             }
             Stream::Attempt(attempt, _) => {
                 // The answer to a write is not a copy and has no name.
-                let classes = &self.shared.catalogue.settings.classes;
+                let classes = &self.shared.site.settings.classes;
                 let whole =
                     answer.version.is_some() || classes.get(attempt.call.class).is_some_and(|c| c.write);
                 let body = match answer.code {
@@ -438,8 +441,9 @@
                 };
                 let (status, note) = (answer.code.status(), answer.note);
                 let (waited, load) = (answer.waited, answer.load);
-                let name = answer.version.map(|(tag, stamp)| (frame.slice_ref(tag), stamp));
-                self.end(End { ticket: attempt.ticket, status, note, waited, load, body, name }).await;
+                let version = answer.version.map(|(tag, stamp)| (frame.slice_ref(tag), stamp));
+                self.end(AttemptEnd { ticket: attempt.ticket, status, note, waited, load, body, version })
+                    .await;
             }
         }
     }
@@ -467,14 +471,14 @@
                     self.probed(status, elapsed, None).await;
                 }
                 Stream::Attempt(a, _) if a.written.get() => {
-                    self.end(End::bare(a.ticket, Status::Reset)).await;
+                    self.end(AttemptEnd::without_details(a.ticket, Status::Reset)).await;
                 }
                 Stream::Attempt(a, _) if line.up => self.send(a).await,
                 // Nothing was written, so nothing ran, whatever the error says. A lack of resources on this machine
                 // says nothing about the member.
                 Stream::Attempt(a, _) => {
                     let status = if is_own_want(why) { Status::Moot } else { Status::ConnectFailed };
-                    self.end(End::bare(a.ticket, status)).await;
+                    self.end(AttemptEnd::without_details(a.ticket, status)).await;
                 }
             }
         }
@@ -483,7 +487,7 @@
     /// Idle time after which a connection is closed: less than the peer's idle timeout, so that no request crosses the
     /// peer's close.
     fn idle(&self) -> Micros {
-        let told = self.shared.catalogue.idle_close;
+        let told = self.shared.site.idle_close;
         told - (told / IDLE_PART).max(IDLE_MARGIN).min(told / 2)
     }
 
@@ -527,14 +531,14 @@
 
     async fn serve(&self) -> Result<std::convert::Infallible, io::Error> {
         let late = async {
-            Timer::after(Duration::from_micros(self.shared.catalogue.settings.connect_timeout)).await;
+            Timer::after(Duration::from_micros(self.shared.site.settings.connect_timeout)).await;
             Err(io::Error::new(io::ErrorKind::TimedOut, "connect timed out"))
         };
         let stream = Rc::new(future::or(Async::<TcpStream>::connect(self.address), late).await?);
         let _ = stream.get_ref().set_nodelay(true);
         self.actor.send(Order::Up(self.line, stream.clone())).await.map_err(gone)?;
         let stream = &*stream;
-        let classes = &self.shared.catalogue.settings.classes;
+        let classes = &self.shared.site.settings.classes;
         let longest = Duration::from_micros(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
         let read = async {
             // No client waits longer than the longest deadline, so an answer that trickles on is cut off then.
@@ -577,14 +581,14 @@
         attempt: &Rc<Attempt>,
     ) -> io::Result<Option<(Vec<u8>, usize)>> {
         loop {
-            if attempt.dropped.get() || attempt.line.get() != self.line {
+            if attempt.abandoned.get() || attempt.connection.get() != self.line {
                 return Ok(None);
             }
-            if !self.shared.board.allows(attempt, self.peer) {
+            if !self.shared.state.allows(attempt, self.peer) {
                 self.actor.send(Order::Unwritten(self.line, attempt.clone())).await.map_err(gone)?;
                 return Ok(None);
             }
-            let bytes = attempt.command(&self.shared.catalogue);
+            let bytes = attempt.command(&self.shared.site);
             match stream.get_ref().write(&bytes) {
                 Ok(written) => {
                     attempt.written.set(true);
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -4,14 +4,15 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use bitternhold::{FillMode, Keep, MemberId, Status};
 use bytes::Bytes;
 use silverspindle::clock;
 use silverspindle::drain::Drain;
 use silverspindle::front::Front;
 use silverspindle::traffic::{
-    Attempt, Board, Call, Descriptors, Message, Port, Shared, Taken, Terms, Verdict,
+    Attempt, BodyReservation, Call, ClientHandle, Descriptors, FetchOptions, Message, RoutingState, Shared,
+    Verdict,
 };
 use silverspindle::upstream::{Order, Peer};
 
@@ -26,7 +27,7 @@
     pub gone: Cell<bool>,
 }
 
-impl Port for WaitingClient {
+impl ClientHandle for WaitingClient {
     fn id(&self) -> u64 {
         0
     }
@@ -53,11 +54,11 @@
 
     pub fn with(tasks: &Tasks, descriptors: usize, options: &serde_json::Value) -> Self {
         let (director, messages) = async_channel::bounded(1024);
-        let catalogue = Rc::new(Catalogue::read(options.as_object().unwrap()));
-        let board = Rc::new(Board::default());
-        [PEER, SOURCE].into_iter().for_each(|id| board.set_ready(id, true));
+        let site = Rc::new(SiteSettings::parse(options.as_object().unwrap()));
+        let state = Rc::new(RoutingState::default());
+        [PEER, SOURCE].into_iter().for_each(|id| state.set_ready(id, true));
         let descriptors = Descriptors::new(descriptors);
-        let shared = Rc::new(Shared { catalogue, board, descriptors, director, tasks: tasks.clone() });
+        let shared = Rc::new(Shared { site, state, descriptors, director, tasks: tasks.clone() });
         Self { shared, messages, cache: Cache::start(tasks), client: Rc::default() }
     }
 
@@ -73,32 +74,32 @@
             part: 3,
             group: 17,
             size_kb: None,
-            token: None,
-            cached: None,
+            idempotency_key: None,
+            client_tag: None,
             deadline: clock::now() + 60_000_000,
             body: Bytes::new(),
-            taken: Taken::default(),
-            over: Cell::new(false),
-            lines: RefCell::default(),
+            body_reservation: BodyReservation::default(),
+            finished: Cell::new(false),
+            used_connections: RefCell::default(),
         };
         Rc::new(Attempt {
             ticket,
             client: self.client.clone(),
             write_by: call.deadline,
-            line: Cell::new(0),
-            until: call.deadline,
+            connection: Cell::new(0),
+            deadline: call.deadline,
             call: Rc::new(call),
-            terms: Terms {
+            options: FetchOptions {
                 source: Some(SOURCE),
                 keep: Keep::Middle,
                 max_age: Some(900),
                 mode: FillMode { join: true, held_only: true, parent_pass: true, renew: true },
             },
-            decided: self.shared.board.moment(),
+            purge_seq: self.shared.state.purge_seq(),
             written: Cell::new(false),
-            dropped: Cell::new(false),
-            first: true,
-            bare: Cell::new(false),
+            abandoned: Cell::new(false),
+            is_first: true,
+            without_source: Cell::new(false),
             tokens: Cell::new(0),
         })
     }
@@ -116,18 +117,18 @@
         drain: &Rc<RefCell<Drain>>,
         listener: Async<TcpListener>,
     ) -> Rc<Front> {
-        let (catalogue, director) = (self.shared.catalogue.clone(), self.shared.director.clone());
-        let front = Front::new(catalogue, director, 192_000_000, 64, drain.clone());
+        let (site, director) = (self.shared.site.clone(), self.shared.director.clone());
+        let front = Front::new(site, director, 192_000_000, 64, drain.clone());
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
         front
     }
 
     /// The next request that the front passes on.
-    pub async fn request(&self) -> (Rc<dyn Port>, i32, Call) {
+    pub async fn request(&self) -> (Rc<dyn ClientHandle>, i32, Call) {
         loop {
             match self.messages.recv().await.unwrap() {
-                Message::Request { port, seq, call } => return (port, seq, call),
-                Message::Left { .. } => {}
+                Message::Request { client, seq, call } => return (client, seq, call),
+                Message::Disconnected { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -106,7 +106,10 @@
         front.stop_accepting();
         until(|| front.settled()).await;
         while let Ok(message) = world.messages.try_recv() {
-            assert!(matches!(message, Message::Left { .. }), "sent on after the shutdown: {message:?}");
+            assert!(
+                matches!(message, Message::Disconnected { .. }),
+                "sent on after the shutdown: {message:?}"
+            );
         }
     });
 }
@@ -186,7 +189,7 @@
     run(async |tasks| {
         let mut world = ActorHarness::new(tasks, 9);
         let (director, ends) = async_channel::bounded(1);
-        director.try_send(Message::Limits).unwrap();
+        director.try_send(Message::PublishLimits).unwrap();
         let shared = Rc::get_mut(&mut world.shared).unwrap();
         (shared.director, world.messages) = (director, ends);
         let drain = drain();
@@ -205,7 +208,7 @@
         drain.borrow_mut().end(clock::now());
         assert!(front.flushed() && !front.settled());
         assert!(!drain.borrow().may_exit(clock::now(), 0, front.settled()));
-        assert!(matches!(world.messages.recv().await.unwrap(), Message::Limits));
+        assert!(matches!(world.messages.recv().await.unwrap(), Message::PublishLimits));
         let (port, seq, _) = world.request().await;
         port.answer(seq, Verdict::Failed);
         assert_eq!(client.next().await.unwrap(), thrift::encode_broken(1));
--- a/tests/inherited.rs
+++ b/tests/inherited.rs
@@ -1,124 +1,134 @@
-//! What a director makes of others' words: priors that its own observations soon outweigh, and nothing more.
+//! Observations inherited from other directors are only initial estimates, which a director's own observations soon
+//! outweigh.
 
 mod common;
 
 use bitternhold::*;
 use common::*;
 
-fn told(world: &mut World, members: Vec<InheritedMember>) {
-    world.tell(Event::Inherited(Inherited { members, ..Inherited::default() }));
+fn inherit(world: &mut World, members: Vec<InheritedMember>) {
+    world.handle(Event::Inherited(Inherited { members, ..Inherited::default() }));
 }
 
-fn ill(id: u64, aside: Micros) -> InheritedMember {
-    InheritedMember { id: MemberId(id), ill: 0.9, ill_weight: 0.9, aside, ..InheritedMember::default() }
+fn faulty(id: u64, quarantine: Micros) -> InheritedMember {
+    InheritedMember {
+        id: MemberId(id),
+        fault_rate: 0.9,
+        fault_rate_weight: 0.9,
+        quarantine,
+        ..InheritedMember::default()
+    }
 }
 
-/// Requests for many objects: how many of the first attempts went to this cache.
-fn share(world: &mut World, from: u128, cache: u64) -> usize {
+/// Number of first attempts that went to this cache, of requests for 60 objects.
+fn first_attempts(world: &mut World, from: u128, cache: u64) -> usize {
     (from..from + 60).filter(|id| world.serve(*id, &format!("o{id}")).member == MemberId(cache)).count()
 }
 
-/// Guards against meeting an ill member anew: a newcomer sets it aside at once, and tries it after that.
+/// Guards against a new director that detects a faulty member all over again: it quarantines the member at once, and
+/// puts it on probation afterwards.
 #[test]
-fn a_member_that_others_set_aside_gets_nothing_until_it_is_tried_again() {
+fn a_member_quarantined_by_others_gets_no_attempts_until_its_probation() {
     let mut world = World::new(settings());
-    told(&mut world, vec![ill(1, 3 * S)]);
-    assert_eq!(share(&mut world, 1, 1), 0);
+    inherit(&mut world, vec![faulty(1, 3 * S)]);
+    assert_eq!(first_attempts(&mut world, 1, 1), 0);
     world.now += 4 * S;
-    assert!(share(&mut world, 100, 1) > 5, "trusted again by what it answers");
+    assert!(first_attempts(&mut world, 100, 1) > 5, "trusted again after successful answers");
 }
 
-/// Guards against a word that is out of date: what the director has seen itself goes before.
+/// Guards against outdated reports: the director's own observations take precedence.
 #[test]
-fn of_a_member_met_often_others_words_say_little() {
+fn inherited_observations_count_little_for_a_member_with_many_attempts() {
     let mut world = World::new(settings());
-    assert!(share(&mut world, 1, 1) > 5);
-    told(&mut world, vec![ill(1, 3 * S)]);
-    assert!(share(&mut world, 100, 1) > 5);
+    assert!(first_attempts(&mut world, 1, 1) > 5);
+    inherit(&mut world, vec![faulty(1, 3 * S)]);
+    assert!(first_attempts(&mut world, 100, 1) > 5);
 }
 
 #[test]
-fn a_word_on_an_earlier_process_changes_nothing() {
+fn observations_of_an_earlier_process_change_nothing() {
     let mut world = World::new(settings());
-    told(&mut world, vec![InheritedMember { started: 5, ..ill(1, 3 * S) }]);
-    assert!(share(&mut world, 1, 1) > 5);
+    inherit(&mut world, vec![InheritedMember { started: 5, ..faulty(1, 3 * S) }]);
+    assert!(first_attempts(&mut world, 1, 1) > 5);
 }
 
-/// A limit that others found holds the newcomer back before it has met the jam itself.
+/// A limit that others found applies to a new director before it has detected the congestion itself.
 #[test]
-fn an_inherited_limit_holds_until_answers_come_in_time() {
+fn an_inherited_limit_applies_from_the_first_request() {
     let open = |prior: Option<f64>| {
         let mut world = World::new(Settings { zone_directors: vec![0, 1], ..settings() });
         if let Some(limit) = prior {
             let of = |id| InheritedMember {
                 id: MemberId(id),
-                pace: InheritedPace { limit, lateness: 0.0, weight: 1.0 },
+                concurrency: InheritedLimit { limit, late_rate: 0.0, weight: 1.0 },
                 ..InheritedMember::default()
             };
-            told(&mut world, (1..=4).map(of).collect());
+            inherit(&mut world, (1..=4).map(of).collect());
         }
         (1..=60).filter(|id| !sends(&world.ask(*id, &format!("o{id}"))).is_empty()).count()
     };
     assert_eq!((open(None), open(Some(4.0))), (60, 16));
 }
 
-/// Guards against a refill after a restart: what others have seen is kept from the first request on.
+/// Guards against filling the caches again after a restart: objects that others have seen are kept from the first
+/// request on.
 #[test]
-fn what_others_saw_lately_is_kept_at_once_and_passed_on_by_nobody() {
+fn objects_seen_by_others_are_kept_at_once_and_not_reported_again() {
     let mut donor = World::with(Settings { zone_directors: vec![0, 1], ..settings() }, fleet());
     donor.serve(1, "popular");
     let report = donor.director.report(donor.now);
-    assert_eq!(report.seen[0].len(), 1);
+    assert_eq!(report.seen_ids[0].len(), 1);
     let mut world = World::with(Settings { zone_directors: vec![0, 1], ..settings() }, fleet());
-    world.tell(Event::Inherited(Inherited { seen: report.seen[0].clone(), ..Inherited::default() }));
+    world
+        .handle(Event::Inherited(Inherited { seen_ids: report.seen_ids[0].clone(), ..Inherited::default() }));
     assert_eq!(world.serve(1, "popular").keep, Keep::Middle);
     assert_eq!(world.serve(2, "other").keep, Keep::Pass);
-    // It asked for one itself: that is what it tells; the word that it took over is not its own.
+    // A director reports only the objects requested of it, not the inherited ones.
     let mut idle = World::with(settings(), fleet());
-    idle.tell(Event::Inherited(Inherited { seen: report.seen[0].clone(), ..Inherited::default() }));
-    assert_eq!(idle.director.report(idle.now).seen, [Vec::<u64>::new(), vec![]]);
+    idle.handle(Event::Inherited(Inherited { seen_ids: report.seen_ids[0].clone(), ..Inherited::default() }));
+    assert_eq!(idle.director.report(idle.now).seen_ids, [Vec::<u64>::new(), vec![]]);
 }
 
-/// Only members that answered something are reported, with how much was seen of them.
+/// Only members at which an attempt has ended are reported, with the number of attempts.
 #[test]
-fn a_report_holds_what_was_met() {
+fn a_report_contains_only_members_with_attempts() {
     let mut world = World::new(settings());
     let cache = world.serve(1, "a").member;
     let report = world.director.report(world.now);
-    let caches: Vec<_> = report.members.iter().map(|m| (m.id, m.met)).collect();
+    let caches: Vec<_> = report.members.iter().map(|m| (m.id, m.attempts_ended)).collect();
     assert_eq!(caches, [(cache, 1)]);
 }
 
-/// Guards the rules: no word brings a member that is not listed as ready into use, or an unknown one.
+/// Guards the rules: no inherited observation makes the director use a member that is unknown or not listed as ready.
 #[test]
-fn a_word_brings_no_member_into_use() {
+fn an_inherited_observation_brings_no_member_into_use() {
     let mut fleet = fleet();
     fleet[0].lifecycle = Lifecycle::Draining;
     let mut world = World::with(settings(), fleet);
-    let well = |id| InheritedMember {
+    let healthy = |id| InheritedMember {
         id: MemberId(id),
-        ill_weight: 1.0,
-        pace: InheritedPace { limit: 1e6, lateness: 0.0, weight: 1.0 },
-        ..ill(id, 0)
+        fault_rate_weight: 1.0,
+        concurrency: InheritedLimit { limit: 1e6, late_rate: 0.0, weight: 1.0 },
+        ..faulty(id, 0)
     };
-    told(&mut world, vec![well(1), well(77)]);
-    assert_eq!(share(&mut world, 1, 1) + share(&mut world, 100, 77), 0);
+    inherit(&mut world, vec![healthy(1), healthy(77)]);
+    assert_eq!(first_attempts(&mut world, 1, 1) + first_attempts(&mut world, 100, 77), 0);
 }
 
-/// What others found that all fills together, and the origin, bear holds the newcomer's first fills back.
+/// The limits that others found for all fills, and for fills by the origin, apply to a new director's first fills.
 #[test]
-fn an_inherited_limit_of_fills_holds() {
-    let fills = |told: Option<[f64; 2]>| {
+fn an_inherited_limit_of_fills_applies() {
+    let fills = |inherited: Option<[f64; 2]>| {
         let mut world = World::new(Settings { zone_directors: vec![0, 1], ..settings() });
-        if let Some(limits) = told {
-            let fills = limits.map(|limit| InheritedPace { limit, lateness: 0.5, weight: 1.0 });
-            world.tell(Event::Inherited(Inherited { fills, ..Inherited::default() }));
+        if let Some(limits) = inherited {
+            let fills = limits.map(|limit| InheritedLimit { limit, late_rate: 0.5, weight: 1.0 });
+            world.handle(Event::Inherited(Inherited { fills, ..Inherited::default() }));
         }
         let sent: Vec<Sent> = (1..=40).flat_map(|id| sends(&world.ask(id, &format!("o{id}")))).collect();
         let filled = sent.iter().filter(|s| s.source != s.member);
         (filled.clone().filter(|s| !s.mode.held_only).count(), filled.count())
     };
-    // Without a word: the newcomer's part, of two directors, of the first guess.
+    // Without inherited limits: the new director's share, one of two, of the initial limit.
     assert_eq!(fills(None), (40, 40));
     assert_eq!(fills(Some([12.0, 5.0])), (5, 12));
 }
--- a/wire/src/feed.rs
+++ b/wire/src/feed.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use bitternhold::settings::{Catalogue, place};
+use bitternhold::settings::{SiteSettings, index_of};
 use bitternhold::{Lifecycle, Member, MemberId};
 use serde_json::Value;
 
@@ -112,7 +112,7 @@
 }
 
 /// Parses the configuration's `known`: the number of its last event and the events. An error names the key.
-pub fn parse_known(value: &Value, names: &Catalogue) -> Result<(u64, Vec<Event>), String> {
+pub fn parse_known(value: &Value, names: &SiteSettings) -> Result<(u64, Vec<Event>), String> {
     let index = value["index"].as_u64().ok_or("known.index: must be a whole number")?;
     let updates = value["updates"].as_array().ok_or("known.updates: must be a list")?;
     let events = updates.iter().enumerate().map(|(i, v)| {
@@ -145,7 +145,7 @@
 }
 
 /// Parses a member's entry in `known`. An error is the name of the key.
-fn parse_entry(m: &Value, names: &Catalogue) -> Result<ListEntry, &'static str> {
+fn parse_entry(m: &Value, names: &SiteSettings) -> Result<ListEntry, &'static str> {
     let id =
         m["id"].as_str().and_then(|t| t.strip_prefix("s-")).and_then(|t| u32::from_str_radix(t, 16).ok());
     Ok(ListEntry {
@@ -157,8 +157,8 @@
                 Some("gone") => Lifecycle::Gone,
                 _ => return Err("phase"),
             },
-            zone: place(&names.zones, m["locality"].as_str()),
-            kind: place(&names.kinds, m["flavor"].as_str()),
+            zone: index_of(&names.zones, m["locality"].as_str()),
+            kind: index_of(&names.kinds, m["flavor"].as_str()),
             cell: m["cell"].as_u64().unwrap_or(0),
             weight: m["size"].as_f64().unwrap_or(0.0),
             started: Stamp::from_millis(m["up_since_ms"].as_u64().unwrap_or(0)).on_own_clock(),
