--- a/wire/src/feed.rs
+++ b/wire/src/feed.rs
@@ -112,7 +112,7 @@
 }
 
 /// Parses the configuration's `known`: the number of its last event and the events. An error names the key.
-pub fn parse_known(value: &Value, names: &SiteSettings) -> Result<(u64, Vec<Event>), String> {
+pub fn parse_known(value: &Value, site: &SiteSettings) -> Result<(u64, Vec<Event>), String> {
     let index = value["index"].as_u64().ok_or("known.index: must be a whole number")?;
     let updates = value["updates"].as_array().ok_or("known.updates: must be a list")?;
     let events = updates.iter().enumerate().map(|(i, v)| {
@@ -121,7 +121,7 @@
             let entries = list["members"].as_array().ok_or_else(|| malformed("endpoints.members"))?;
             let members = entries
                 .iter()
-                .map(|m| parse_entry(m, names).map_err(|key| malformed(&format!("endpoints.members.{key}"))))
+                .map(|m| parse_entry(m, site).map_err(|key| malformed(&format!("endpoints.members.{key}"))))
                 .collect::<Result<_, _>>()?;
             Update::Members { complete: list["complete"].as_bool().unwrap_or(false), members }
         } else {
@@ -145,7 +145,7 @@
 }
 
 /// Parses a member's entry in `known`. An error is the name of the key.
-fn parse_entry(m: &Value, names: &SiteSettings) -> Result<ListEntry, &'static str> {
+fn parse_entry(m: &Value, site: &SiteSettings) -> Result<ListEntry, &'static str> {
     let id =
         m["id"].as_str().and_then(|t| t.strip_prefix("s-")).and_then(|t| u32::from_str_radix(t, 16).ok());
     Ok(ListEntry {
@@ -157,8 +157,8 @@
                 Some("gone") => Lifecycle::Gone,
                 _ => return Err("phase"),
             },
-            zone: index_of(&names.zones, m["locality"].as_str()),
-            kind: index_of(&names.kinds, m["flavor"].as_str()),
+            zone: index_of(&site.zones, m["locality"].as_str()),
+            kind: index_of(&site.kinds, m["flavor"].as_str()),
             cell: m["cell"].as_u64().unwrap_or(0),
             weight: m["size"].as_f64().unwrap_or(0.0),
             started: Stamp::from_millis(m["up_since_ms"].as_u64().unwrap_or(0)).on_own_clock(),
--- a/wirehost/src/codec.rs
+++ b/wirehost/src/codec.rs
@@ -13,7 +13,7 @@
 /// A director, with the names of classes, zones and kinds from its settings.
 struct Instance {
     director: Director,
-    names: SiteSettings,
+    site: SiteSettings,
 }
 
 /// All director instances of this process, and the numbered member lists that `fleet` events refer to.
@@ -157,9 +157,9 @@
         match msg.name {
             "configure" => {
                 let options = msg.required("options", Value::as_object)?;
-                let names = SiteSettings::parse(options);
-                let director = Director::new(msg.number("prng")?, names.settings.clone());
-                self.instances.insert(who, Instance { director, names });
+                let site = SiteSettings::parse(options);
+                let director = Director::new(msg.number("prng")?, site.settings.clone());
+                self.instances.insert(who, Instance { director, site });
                 return Ok(());
             }
             "define_list" => {
@@ -193,7 +193,7 @@
             }
             "call" => Event::Request(Request {
                 id: msg.ticket()?,
-                class: index_of(&instance.names.classes, msg.optional("band", Value::as_str)?),
+                class: index_of(&instance.site.classes, msg.optional("band", Value::as_str)?),
                 object: msg.text("key")?.to_owned(),
                 part: msg.optional("range_no", whole_number)?.unwrap_or(0),
                 group: msg.optional("tag", whole_number)?.unwrap_or(0),
@@ -244,8 +244,8 @@
                 2 => Lifecycle::Draining,
                 _ => return Err(msg.malformed("lifecycle")),
             },
-            zone: index_of(&self.names.zones, msg.optional("hall", Value::as_str)?),
-            kind: index_of(&self.names.kinds, msg.optional("sku", Value::as_str)?),
+            zone: index_of(&self.site.zones, msg.optional("hall", Value::as_str)?),
+            kind: index_of(&self.site.kinds, msg.optional("sku", Value::as_str)?),
             cell: msg.optional("unit_group", whole_number)?.unwrap_or(0),
             weight: msg.optional("nominal", Value::as_f64)?.unwrap_or(0.0),
             started: msg.optional("born_ms", micros)?.unwrap_or(0),
