--- a/silverspindle/benches/passing.rs
+++ b/silverspindle/benches/passing.rs
@@ -1,5 +1,6 @@
-//! Bytes a second that one router process passes on, and its processor time a byte, between stand-ins on loopback. A row
-//! a line as JSON, the median of some runs. `cargo bench -p silverspindle --bench passing`.
+//! Throughput of one router process between stand-ins on loopback: bytes per second passed on, and processor time per
+//! byte. Prints one JSON object per line, each with the median of several runs. Run with
+//! `cargo bench -p silverspindle --bench passing`.
 #![allow(missing_docs)]
 
 use std::io;
@@ -10,9 +11,11 @@
 use serde_json::json;
 use silverspindle_standins::passing::{self, Options, Passed};
 
-/// Bytes of a body; the last is the largest that a cache's answer may have.
+/// Sizes of the answers' bodies in bytes; the last is the largest that a cache's answer may have.
 const BODIES: [usize; 3] = [2 * 1024, 32 * 1024, 256 * 1024];
+/// Number of runs per body size.
 const RUNS: u64 = 3;
+/// Duration of a run in seconds.
 const SECONDS: u64 = 3;
 
 fn median(runs: &[Passed], figure: impl Fn(&Passed) -> f64) -> f64 {
--- a/silverspindle/src/config.rs
+++ b/silverspindle/src/config.rs
@@ -1,4 +1,4 @@
-//! The one place where configuration is read, checked and given defaults. A message names the faulty key.
+//! Reads the configuration, checks it and fills in defaults; no other module does. Each message names the faulty key.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,52 +10,58 @@
 
 use crate::feed;
 
+/// Default of `limits.sockets`.
 const SOCKETS: u64 = 1024;
+/// Smallest value of `limits.sockets` that is accepted.
 const LEAST_SOCKETS: u64 = 64;
+/// Default of `limits.memory_mb`, in megabytes.
 const MEMORY_MB: f64 = 192.0;
-/// The rules bound all down to 32 MB, and the operators' days halve the limits: so little is taken.
+/// Smallest value of `limits.memory_mb` that is accepted, in megabytes: the protocol's rules allow limits down to 32 MB,
+/// and on the operators' days the limits are halved.
 const LEAST_MEMORY_MB: f64 = 16.0;
 
-/// Where texts come from that aren't in the file.
+/// Looks up an environment variable by its name.
 pub type Environment<'a> = &'a dyn Fn(&str) -> Option<String>;
 
-/// All that a router is told.
+/// The checked configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The router's name.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// The second address, for staff and the platform: ready, drain, resume. None: no such listener.
+    /// Address of the management calls (ready, drain, resume) for operators and the platform; none for no such listener.
     pub management: Option<SocketAddr>,
-    /// For the module's random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// Where the coordinator is.
+    /// Address of the coordinator.
     pub coordinator: SocketAddr,
-    /// Descriptors that it may hold.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
-    /// Bytes of memory that it may take.
+    /// Memory limit in bytes.
     pub memory: usize,
-    /// Bytes a second of one transfer of the router's own copies, and of all; 0: it serves none.
+    /// Rate limit of one transfer of an own copy, in bytes per second; 0 if the router serves no own copies.
     pub flow: f64,
-    /// See `flow`.
+    /// Rate limit of all transfers of own copies together, in bytes per second; 0 if the router serves no own copies.
     pub link: f64,
-    /// The settings.
+    /// The settings of the site.
     pub catalogue: Catalogue,
-    /// The number of the last event in `known`, and the events.
+    /// The events of the key `known`, preceded by the number of the last one.
     pub known: (u64, Vec<feed::Event>),
-    /// Which log lines are written.
+    /// Log level.
     pub level: LevelFilter,
-    /// They are JSON.
+    /// Log lines are written as JSON.
     pub json_logs: bool,
-    /// Settings that were not understood, with the safe reading that holds.
+    /// Warnings about settings of a wrong type, each with the safe default that is used instead.
     pub notes: Vec<String>,
 }
 
+/// Returns a fault in the form `configuration: KEY: PROBLEM`.
 fn fault<T>(key: &str, problem: &str) -> Result<T, String> {
     Err(format!("configuration: {key}: {problem}"))
 }
 
+/// Parses an address with a port.
 fn address(key: &str, value: Option<&str>) -> Result<SocketAddr, String> {
     match value.map(str::parse) {
         Some(Ok(address)) => Ok(address),
@@ -64,6 +70,7 @@
     }
 }
 
+/// Reads a number under `limits`.
 fn limit(file: &Value, name: &str, default: f64, least: f64) -> Result<f64, String> {
     match &file["limits"][name] {
         Value::Null => Ok(default),
@@ -74,6 +81,7 @@
     }
 }
 
+/// Reads a rate that is not negative; 0 if the key is absent.
 fn rate(file: &Value, key: &str) -> Result<f64, String> {
     match &file[key] {
         Value::Null => Ok(0.0),
@@ -84,7 +92,8 @@
     }
 }
 
-/// Reads the operators' file; none: all that it turns on is off. Each fault is a line `FILE:LINE: KEY: PROBLEM`.
+/// Reads the operators' file; without a path, returns the default, with everything that the file enables off. Each fault
+/// is a line `FILE:LINE: KEY: PROBLEM`.
 pub fn read_conf(path: Option<&Path>) -> Result<Conf, Vec<String>> {
     let Some(path) = path else { return Ok(Conf::default()) };
     let name = path.display();
@@ -94,12 +103,12 @@
 }
 
 impl Config {
-    /// Reads the environment and the file that it names. The first fault.
+    /// Reads the environment and the file named by `LB_CONFIG`. Returns only the first fault.
     pub fn read(environment: Environment) -> Result<Self, String> {
         Self::read_all(environment).map_err(|faults| faults.into_iter().next().unwrap_or_default())
     }
 
-    /// The same with all faults at once.
+    /// Like [`Config::read`], but returns all faults.
     pub fn read_all(environment: Environment) -> Result<Self, Vec<String>> {
         let one = |e: Result<Self, String>| e.map_err(|e| vec![e]);
         let Some(path) = environment("LB_CONFIG") else { return one(fault("LB_CONFIG", "is not set")) };
@@ -109,15 +118,16 @@
         }
     }
 
-    /// Reads the file's text; `LB_NAME` and `LB_LISTEN` go before what it says. The first fault.
+    /// Parses the file's text; environment variables such as `LB_NAME` and `LB_LISTEN` override its values. Returns only the
+    /// first fault.
     pub fn parse(text: &str, environment: Environment) -> Result<Self, String> {
         Self::parse_all(text, environment).map_err(|faults| faults.into_iter().next().unwrap_or_default())
     }
 
-    /// The same with all faults at once.
+    /// Like [`Config::parse`], but returns all faults.
     pub fn parse_all(text: &str, environment: Environment) -> Result<Self, Vec<String>> {
         let file: Value = serde_json::from_str(text)
-            .or_else(|e| fault("LB_CONFIG", &format!("is no JSON: {e}")))
+            .or_else(|e| fault("LB_CONFIG", &format!("is not valid JSON: {e}")))
             .map_err(|e| vec![e])?;
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
         let mut faults = Vec::new();
@@ -135,12 +145,12 @@
             None => match file["management"].as_str() {
                 Some(text) => address("management", Some(text)).map(Some),
                 None if file["management"].is_null() => Ok(None),
-                None => fault("management", "must be a text: address and port"),
+                None => fault("management", "must be a string: address and port"),
             },
         };
         let management = or(all, management, None);
         let seed = file["seed"].as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
-        let seed = seed.map_or_else(|| fault("seed", "must be a text of up to 16 hex digits"), Ok);
+        let seed = seed.map_or_else(|| fault("seed", "must be a string of up to 16 hex digits"), Ok);
         let seed = or(all, seed, 0);
         let level = match environment("LB_LOG") {
             None => Ok(LevelFilter::INFO),
@@ -195,6 +205,7 @@
     }
 }
 
+/// Returns the value that was read; on a fault records it and returns the default.
 fn or<T>(faults: &mut Vec<String>, read: Result<T, String>, default: T) -> T {
     read.unwrap_or_else(|fault| {
         faults.push(fault);
@@ -202,22 +213,29 @@
     })
 }
 
-/// Settings of which another kind of value is taken for an absent one, and what that comes to: the safe reading.
+/// Settings whose value is ignored if it has the wrong type, because their default is safe: section, key, expected type
+/// and the effect of the default.
 const SAFE: [(&str, &str, &str, &str); 12] = [
-    ("limits", "try_limit", "a number", "one attempt a request"),
-    ("limits", "second_copies", "yes or no", "no second copies"),
-    ("limits", "cancelling", "yes or no", "nothing is cancelled"),
-    ("limits", "probes", "yes or no", "no probes"),
-    ("limits", "retry_after", "yes or no", "no advice to clients"),
-    ("limits", "max_retry_after_ms", "a number", "no advice to clients"),
-    ("family_info", "shares_fills", "yes or no", "no fill is joined"),
-    ("family_info", "bypass_allowed", "yes or no", "parents and origin take no requests"),
-    ("family_info", "heed_within_ms", "a number", "purges are heeded at once"),
-    ("rules", "cold_from", "a number", "a cold cache bears a hundredth at its start"),
-    ("rules", "fall_multiple", "a number", "all routers share one attempt a window at a cold cache"),
+    ("limits", "try_limit", "a number", "one attempt per request"),
+    ("limits", "second_copies", "true or false", "no second copies"),
+    ("limits", "cancelling", "true or false", "nothing is cancelled"),
+    ("limits", "probes", "true or false", "no probes"),
+    ("limits", "retry_after", "true or false", "no retry advice to clients"),
+    ("limits", "max_retry_after_ms", "a number", "no retry advice to clients"),
+    ("family_info", "shares_fills", "true or false", "no fill is joined"),
+    ("family_info", "bypass_allowed", "true or false", "parents and origin take no requests"),
+    ("family_info", "heed_within_ms", "a number", "purges take effect at once"),
+    ("rules", "cold_from", "a number", "a cold cache starts with a hundredth of its capacity"),
+    (
+        "rules",
+        "fall_multiple",
+        "a number",
+        "all routers together send one attempt per window to a cold cache",
+    ),
     ("deductions", "handshake", "a number", "connections are not shared"),
 ];
-/// Of which none is safe: without them a cold member passes for a warm one, and a copy older than a purge for a young one.
+/// Settings without a safe default; a wrong type is a fault. Ignoring one would treat a cold member as warm, or a copy older
+/// than a purge as newer.
 const NEEDED: [(&str, &str); 4] = [
     ("rules", "cold_ms"),
     ("rules", "tip_after_ms"),
@@ -225,7 +243,8 @@
     ("family_info", "cleared_within_ms"),
 ];
 
-/// Reads the settings of a site; what would break a rule is a fault, what has a safe reading is a note.
+/// Reads the settings of a site. A value that would break a rule of the protocol is a fault; a value that has a safe
+/// default is reported as a note.
 fn site(settings: &serde_json::Map<String, Value>, faults: &mut Vec<String>) -> (Catalogue, Vec<String>) {
     let mut catalogue = Catalogue::read(settings);
     let mut wrong =
@@ -238,14 +257,14 @@
             wrong(&format!("classes[{i}].name"), "is missing");
         }
         if class.deadline == 0 {
-            wrong(&format!("classes[{i}].deadline_ms"), "must be above 0");
+            wrong(&format!("classes[{i}].deadline_ms"), "must be greater than 0");
         }
     }
     if catalogue.settings.zone == usize::MAX {
         wrong("my_zone", "must be one of settings.failure_domains");
     }
     if catalogue.settings.origin_kind.is_none() {
-        wrong("family_info.root_kind", "must be a place in settings.kinds");
+        wrong("family_info.root_kind", "must be an index into settings.kinds");
     }
     let value =
         |part: &str, name: &str| settings.get(part).and_then(|p| p.get(name)).filter(|v| !v.is_null());
@@ -270,7 +289,7 @@
             && !kind.is_null()
         {
             notes.push(format!(
-                "settings.classes[{i}].idempotency: {kind} is not known; taken as not to be repeated"
+                "settings.classes[{i}].idempotency: {kind} is not known; taken as at_most_once"
             ));
         }
     }
--- a/silverspindle/src/counters.rs
+++ b/silverspindle/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counts by reason of what became of clients' connections and requests. They are logged at the end of a drain and at the
-//! exit, so that a report from service says why connections were closed and requests refused, retried or given up.
+//! Counters, by reason, of how client connections and requests ended. They are logged at the end of a drain and at the
+//! exit, so that an incident report shows why connections were closed and why requests were refused, retried or given up.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,29 +7,29 @@
 
 use bitternhold::Status;
 
-/// Why a client's connection ended.
+/// Reason why a client connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
     /// The client closed or reset it.
     ClientLeft,
-    /// It said nothing at all, or nothing more for longer than clients rest.
+    /// The client sent nothing at all, or nothing more for longer than clients usually pause.
     Idle,
-    /// A message did not come whole in time.
+    /// A message was not completely received in time.
     HalfMessage,
-    /// A drain or the end of the process let it go.
+    /// Closed by a drain or by the shutdown of the process.
     Drained,
-    /// Others waited for its place.
+    /// Closed to make room for clients that wait to be accepted.
     Room,
-    /// What came on it could not be read.
+    /// The bytes received could not be decoded.
     Malformed,
-    /// Its answers took too much of the memory.
+    /// The answers that wait to be written exceeded the memory limit.
     Memory,
-    /// It took no byte of an answer for too long.
+    /// The client accepted no byte of an answer for too long.
     Stalled,
 }
 
 impl CloseReason {
-    /// As it stands in log lines.
+    /// Returns the name used in log lines.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientLeft => "client_left",
@@ -44,33 +44,34 @@
     }
 }
 
-/// Why a request was refused or given up outside the module.
+/// Reason why the router refused or gave up a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalReason {
-    /// Too many were open on its connection.
+    /// Too many requests were open on the connection.
     TooManyOpen,
-    /// What writes carry took too much of the memory.
+    /// The bodies of open writes exceeded the memory limit.
     Memory,
-    /// Its client had too many answers to take yet.
+    /// Too many answers were still waiting for the client to read them.
     Backlog,
-    /// The router was drained, and its connection had to come to an end.
+    /// The router was draining and the connection had to be closed.
     Draining,
-    /// The process could not have answered it before it is killed.
+    /// The process is shutting down and could not have answered the request before SIGKILL.
     Ending,
-    /// The router was out by an agreed order, or might send nothing on.
+    /// The router was taken out by an agreed order, or was not allowed to forward requests.
     Withdrawn,
-    /// It was open when its connection had to end under a drain or before a kill.
+    /// The request was still open when its connection had to be closed, under a drain or before SIGKILL.
     GivenUp,
-    /// Its class or group is refused by what the routers agree on.
+    /// The rules agreed by the routers refuse its class or group.
     Agreed,
-    /// The module found nothing more to try for it.
+    /// The decision module found no further attempt to make.
     Exhausted,
-    /// The module would have it refused, and its attempts do not prove that this does no harm: it failed.
+    /// The decision module refused the request, but its attempts don't prove that a refusal is safe, so it was answered
+    /// as failed.
     Unproven,
 }
 
 impl RefusalReason {
-    /// As it stands in log lines.
+    /// Returns the name used in log lines.
     pub fn name(self) -> &'static str {
         match self {
             RefusalReason::TooManyOpen => "too_many_open",
@@ -87,19 +88,19 @@
     }
 }
 
-/// Why the router's own copy, which was offered when a request came, could not answer it later.
+/// Reason why the router's own copy, offered to the decision module when the request arrived, could not answer it later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CopyLoss {
-    /// It was purged.
+    /// The copy was purged.
     Purged,
-    /// It had grown too old.
+    /// The copy had exceeded its maximum age.
     Aged,
-    /// The feed of purges was too old to vouch for it.
+    /// The last confirmation of the purge feed was too old to rule out a purge of the copy.
     Unconfirmed,
 }
 
 impl CopyLoss {
-    /// As it stands in log lines.
+    /// Returns the name used in log lines.
     pub fn name(self) -> &'static str {
         match self {
             CopyLoss::Purged => "purged",
@@ -109,14 +110,14 @@
     }
 }
 
-/// The counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counters {
     closes: RefCell<BTreeMap<CloseReason, u64>>,
     refusals: RefCell<BTreeMap<RefusalReason, u64>>,
-    /// Attempts after a request's first, by the end of the one before it.
+    /// Attempts after a request's first one, by the status with which the previous attempt ended.
     retries: RefCell<BTreeMap<&'static str, u64>>,
-    /// Final answers by word.
+    /// Final answers by the name of their verdict.
     answers: RefCell<BTreeMap<&'static str, u64>>,
     copies_lost: RefCell<BTreeMap<CopyLoss, u64>>,
 }
@@ -126,42 +127,44 @@
 }
 
 impl Counters {
-    /// A client's connection ended.
+    /// Counts a client connection that ended.
     pub fn closed(&self, reason: CloseReason) {
         count(&self.closes, reason);
     }
 
-    /// A request was refused, or given up.
+    /// Counts a request that was refused or given up.
     pub fn refused(&self, reason: RefusalReason) {
         count(&self.refusals, reason);
     }
 
-    /// A further attempt went out for a request; `after` is how the one before it ended, none while that is still out.
+    /// Counts a further attempt for a request. `after` is the status of the previous attempt, or none while that one is
+    /// still in flight.
     pub fn retried(&self, after: Option<Status>) {
         count(&self.retries, after.map_or("second_copy", Status::name));
     }
 
-    /// An own copy could not answer the request that it was offered for.
+    /// Counts an own copy that could not answer the request that it was offered for.
     pub fn copy_lost(&self, loss: CopyLoss) {
         count(&self.copies_lost, loss);
     }
 
-    /// A request got this final answer.
+    /// Counts a final answer by the name of its verdict.
     pub fn answered(&self, word: &'static str) {
         count(&self.answers, word);
     }
 
-    /// Connections that ended for this reason.
+    /// Number of client connections that ended for this reason.
     pub fn closes(&self, reason: CloseReason) -> u64 {
         self.closes.borrow().get(&reason).copied().unwrap_or(0)
     }
 
-    /// Requests that were refused or given up for this reason.
+    /// Number of requests that were refused or given up for this reason.
     pub fn refusals(&self, reason: RefusalReason) -> u64 {
         self.refusals.borrow().get(&reason).copied().unwrap_or(0)
     }
 }
 
+/// Writes a heading and `name=count` pairs, or `none` where there are none.
 fn write_counts<'a>(
     f: &mut fmt::Formatter,
     what: &str,
--- a/silverspindle/src/invariant.rs
+++ b/silverspindle/src/invariant.rs
@@ -1,21 +1,21 @@
-//! What must hold: asserted in debug builds, counted in release builds.
+//! Invariants: asserted in debug builds; counted and logged in release builds.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 static BROKEN: AtomicU64 = AtomicU64::new(0);
 
-/// How often something that must hold did not, since the start.
+/// Number of invariant violations since the start of the process.
 pub fn broken() -> u64 {
     BROKEN.load(Ordering::Relaxed)
 }
 
-/// Counts one, and says so.
+/// Counts and logs a violation of the invariant described by `what`.
 pub fn count(what: &str) {
     let times = BROKEN.fetch_add(1, Ordering::Relaxed) + 1;
     tracing::error!("invariant broken ({times} in all): {what}");
 }
 
-/// Asserts in debug builds; in release builds counts and logs, and goes on.
+/// Checks an invariant: panics on a violation in debug builds; counts and logs it in release builds and continues.
 #[macro_export]
 macro_rules! invariant {
     ($holds:expr, $what:expr) => {
--- a/silverspindle/src/lib.rs
+++ b/silverspindle/src/lib.rs
@@ -1,9 +1,9 @@
-//! An edge router: one program on real sockets around the decision module `bitternhold`.
+//! An edge router for branch caches: connects the decision module `bitternhold` to real sockets.
 //!
-//! Everything runs on one thread, on one local executor. Clients' connections ([`front`]), each peer
-//! ([`upstream`]), the list ([`coordinator`]) and the module ([`director`]) are actors that talk through
-//! bounded mailboxes in the terms of [`traffic`]. The codecs ([`thrift`], [`resp`], [`feed`]) are pure and
-//! know no sockets.
+//! Everything runs on one thread, on one local executor. The client connections ([`front`]), the connections to
+//! each peer ([`upstream`]), the membership list ([`coordinator`]) and the decision module ([`director`]) are actors.
+//! They exchange the messages defined in [`traffic`] through bounded mailboxes. The codecs ([`thrift`], [`resp`],
+//! [`feed`]) do no I/O.
 
 pub mod agreement;
 pub mod config;
--- a/silverspindle/src/logging.rs
+++ b/silverspindle/src/logging.rs
@@ -1,6 +1,6 @@
-//! Log lines on standard error, by `tracing`: Unix time, level, module, message and fields, as text or as JSON
-//! (`LB_LOG_FORMAT=json`). So many lines a second go out at most, so that bad clients fill neither disk nor
-//! processor; how many were left out is said with the next line that goes out.
+//! Logging to standard error with `tracing`: Unix time, level, module, message and fields, as text or as JSON
+//! (`LB_LOG_FORMAT=json`). The number of lines per second is limited, so that misbehaving clients can neither fill the
+//! disk nor use up the processor. The number of suppressed lines is logged before the next line that is written.
 
 use std::fmt;
 use std::sync::Mutex;
@@ -13,10 +13,10 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Lines a second.
+/// Maximum number of log lines per second.
 const MOST: u32 = 20;
 
-/// Lets so many lines through in each second.
+/// Rate limiter that passes at most [`MOST`] lines in each second.
 #[derive(Debug, Default)]
 pub struct Sieve {
     second: Micros,
@@ -25,7 +25,8 @@
 }
 
 impl Sieve {
-    /// Whether a line goes out, with the number of lines left out before it.
+    /// Returns the number of lines suppressed since the last one that passed if a line may be written at `now`, or none if
+    /// it is suppressed.
     pub fn passes(&mut self, now: Micros) -> Option<u64> {
         if self.second != now / 1_000_000 {
             (self.second, self.passed) = (now / 1_000_000, 0);
@@ -39,7 +40,7 @@
     }
 }
 
-/// Unix seconds and milliseconds by the wall clock, as other machines' logs have them.
+/// Formats the wall-clock time as Unix seconds and milliseconds, as the logs of other machines do.
 struct Unix;
 
 impl FormatTime for Unix {
@@ -49,9 +50,11 @@
     }
 }
 
+/// Formatter of log lines.
 struct Lines {
+    /// Formatter for JSON output; none for text.
     json: Option<Format<Json, Unix>>,
-    /// None: who asks for more than the usual lines gets all.
+    /// None where a more verbose level than info was requested: then no line is suppressed.
     sieve: Option<Mutex<Sieve>>,
 }
 
@@ -94,12 +97,13 @@
     }
 }
 
-/// Lets lines through up to this level, as text or as a JSON object each. A second call changes nothing.
+/// Starts logging of lines up to this level, as text or as one JSON object per line. A second call changes nothing.
 pub fn start(level: LevelFilter, json: bool) {
     let sieve = (level <= LevelFilter::INFO).then(Mutex::default);
     let json_lines = json.then(|| Format::default().json().with_timer(Unix));
     let lines = Lines { json: json_lines, sieve };
-    // What can't be written is lost: to say so on the same standard error, on a full disk say, would be a panic.
+    // A line that can't be written is lost. Reporting the error on the same standard error, for example on a full disk,
+    // would panic.
     let all = tracing_subscriber::fmt().log_internal_errors(false).with_max_level(level);
     let all = all.with_writer(std::io::stderr);
     let _ = match json {
--- a/silverspindle/src/main.rs
+++ b/silverspindle/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the program `silverspindle`.
 
 mod purge;
 mod trials;
@@ -17,12 +17,13 @@
 use silverspindle_rules::{Rules, Trial, Way};
 use silverspindle_work::{Machine, Stage};
 
+/// Text after the help: the environment variables.
 const ENVIRONMENT: &str = "\
 Environment:
-  LB_CONFIG      the platform's configuration file, JSON
-  LB_NAME        the router's name; goes before the file's 'name'
-  LB_LISTEN      where clients connect; goes before the file's 'listen'
-  LB_CONF        the operators' file; --conf goes before it
+  LB_CONFIG      the platform's configuration file, in JSON
+  LB_NAME        the router's name; overrides the file's 'name'
+  LB_LISTEN      the address on which clients connect; overrides the file's 'listen'
+  LB_CONF        the operators' file; overridden by --conf
   LB_LOG         off, error, warn, info (the default), debug or trace
   LB_LOG_FORMAT  text (the default) or json";
 
@@ -36,62 +37,62 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve clients until SIGTERM; SIGHUP reads the configuration and the operators' file anew
+    /// Serve clients until SIGTERM; SIGHUP reloads the configuration and the operators' file
     Serve {
-        /// The operators' file; without it and LB_CONF all that it turns on is off
+        /// The operators' file; without it and LB_CONF every feature that it enables is off
         #[arg(long, value_name = "FILE")]
         conf: Option<PathBuf>,
     },
-    /// Read the platform's configuration, say what is wrong with it, and end
+    /// Check the platform's configuration and report its faults
     CheckConfig,
-    /// Read an operators' file and list all that is wrong with it
+    /// Check an operators' file and list all of its faults
     CheckConf {
-        /// The file
+        /// The file to check
         file: PathBuf,
     },
-    /// Print an operators' file as it takes effect, defaults filled in
+    /// Print an operators' file as it takes effect, with defaults filled in
     ShowConf {
-        /// The file; without it that of LB_CONF, else an empty one
+        /// The file; defaults to that of LB_CONF, else to an empty file
         file: Option<PathBuf>,
     },
-    /// Run this program between stand-ins on loopback and count every item's one final answer
+    /// Run this program between stand-ins on loopback and check that every item gets exactly one final answer
     Try(trials::Line),
-    /// Keys for the exchange between routers
+    /// Manage the keys and certificates for connections between routers
     #[command(subcommand)]
     Keys(Keys),
-    /// What the routers agree on: how it stands, and staff's changes to it
+    /// Show and change what the routers have agreed on
     Fleet {
-        /// Staff's operators' file: their certificate and the agree-elector lines; without it that of LB_CONF
+        /// The caller's operators' file, with the certificate and the agree-elector lines; defaults to that of LB_CONF
         #[arg(long, value_name = "FILE", global = true)]
         conf: Option<PathBuf>,
-        /// Answer in JSON
+        /// Print the output as JSON
         #[arg(long, global = true)]
         json: bool,
-        /// The proposal's id, to ask for the outcome of an earlier call
+        /// Id of the proposal of an earlier call, to ask for its outcome
         #[arg(long, global = true)]
         id: Option<ProposalId>,
         #[command(subcommand)]
         what: Fleet,
     },
-    /// Cores of the purge log without routers, for 'try --hollow'
+    /// Run hollow routers, which are the core of the purge log without the rest of a router, for 'try --hollow'
     #[command(hide = true)]
     Hollow {
-        /// The operators' file that all of them go by
+        /// The operators' file of all hollow routers
         #[arg(long, value_name = "FILE")]
         conf: PathBuf,
-        /// The authority's folder, which also takes their certificates
+        /// Folder of the certificate authority, to which the routers' certificates are written as well
         #[arg(long, value_name = "FOLDER")]
         keys: PathBuf,
-        /// The number of the first
+        /// Number of the first hollow router
         #[arg(long)]
         first: usize,
-        /// How many
+        /// Number of hollow routers
         #[arg(long)]
         count: usize,
     },
-    /// Print the completion of the command line for a shell
+    /// Print a completion script for a shell
     Completion {
-        /// Which one
+        /// The shell
         shell: Shell,
     },
     /// Print the manual page
@@ -102,143 +103,145 @@
 
 #[derive(Subcommand)]
 enum Fleet {
-    /// Who leads, each router's number, digest, life and how old its confirmation is; fails without a quorum
+    /// Show the leader and each router's number, digest, life and age of confirmation; fails without a quorum
     Status,
-    /// Put a router on the roll before it has started
+    /// Add a router to the roll, the agreed list of routers, before it has started
     Join {
-        /// Its name
+        /// The router's name
         name: String,
     },
-    /// Strike a router off the roll
+    /// Remove a router from the roll
     Forget {
-        /// Its name
+        /// The router's name
         name: String,
-        /// Only an earlier life of it, which is known to be dead
+        /// Only this earlier life (run of the process), which is known to have ended
         #[arg(long)]
         life: Option<u64>,
     },
-    /// Set a topic's text
+    /// Set the text of a topic
     Note {
-        /// Which topic
+        /// The topic
         topic: String,
-        /// Its text
+        /// The text
         text: String,
     },
-    /// Make so many decisions as fast as the electors do, to measure
+    /// Make a number of decisions as fast as the electors can, to measure their rate
     Burst {
-        /// How many
+        /// Number of decisions
         count: u64,
     },
-    /// Change the electors, one at a time
+    /// Admit or dismiss electors, one at a time
     #[command(subcommand)]
     Electors(Electors),
-    /// Boxes and parents that are worked on
+    /// Take boxes, parents and routers out of service for work and back
     #[command(subcommand)]
     Work(WorkLine),
-    /// Settings and lists with versions
+    /// Propose, show and return versions of the agreed settings and lists
     #[command(subcommand)]
     Rules(RulesLine),
-    /// Purges and list events over relays
+    /// Follow purges and list events over relays
     #[command(subcommand)]
     Purge(purge::Line),
 }
 
 #[derive(Subcommand)]
 enum RulesLine {
-    /// Propose a file's whole set as the next version
+    /// Propose a file's complete set of rules as the next version
     Propose {
-        /// The file, in the grammar of the operators' file
+        /// The file, in the syntax of the operators' file
         file: PathBuf,
         #[command(flatten)]
         how: How,
     },
-    /// Bring back what a version said, as a new version
+    /// Propose the rules of an earlier version again, as a new version
     Return {
-        /// Its number
+        /// Number of the earlier version
         version: u64,
         #[command(flatten)]
         how: How,
     },
-    /// Which version holds, which is on its way, who is missing
+    /// Show the version in effect, the version being rolled out and the routers that it waits for
     Status,
-    /// Print what a version says; without a number the one that holds
+    /// Print the rules of a version; without a number, of the one in effect
     Show {
-        /// Its number
+        /// Number of the version
         version: Option<u64>,
     },
-    /// What differs between two versions
+    /// Show the differences between two versions
     Diff {
-        /// The earlier
+        /// Number of the earlier version
         from: u64,
-        /// The later
+        /// Number of the later version
         to: u64,
     },
-    /// All versions that were proposed lately, with author and reason
+    /// List the versions proposed recently, with author and reason
     History,
-    /// List all that is wrong with a file; asks nobody
+    /// Check a file and list all of its faults, without contacting any router
     Check {
-        /// The file
+        /// The file to check
         file: PathBuf,
     },
 }
 
+// Options of a proposed version. Not a doc comment, as clap would use it as the help text of the subcommands.
 #[derive(clap::Args)]
 struct How {
-    /// Why, for people
+    /// Reason for the change, shown to people
     #[arg(long, default_value = "")]
     reason: String,
-    /// The version that it builds on; refused, with the difference, where another one holds by now
+    /// Version that the proposal is based on; refused, showing the differences, if another version is in effect by now
     #[arg(long)]
     builds_on: Option<u64>,
-    /// Nobody acts on it until nobody acts on the one before; where keys may never contradict it is so anyhow
+    /// Routers apply only what both versions allow until none applies the previous one alone; always so for keys that must
+    /// never contradict each other
     #[arg(long)]
     apart: bool,
-    /// So many routers of a hundred act on it first; taken back by itself where they serve less in time than the others
+    /// Percentage of the routers that apply it first; taken back automatically if they serve less in time than the others
     #[arg(long, value_name = "PER CENT", value_parser = clap::value_parser!(u32).range(1..=99), conflicts_with = "apart")]
     trial: Option<u32>,
-    /// With --trial: for so many seconds
+    /// With --trial: duration of the trial in seconds
     #[arg(long, default_value_t = 30)]
     trial_for: u64,
-    /// With --trial: taken back where the share in time is less by so many per cent
+    /// With --trial: percentage points by which the share served in time may be below the others' before it is taken back
     #[arg(long, default_value_t = 2)]
     margin: u32,
-    /// Say who is missing until it holds everywhere
+    /// Wait until it is in effect everywhere and print the routers that are missing
     #[arg(long)]
     wait: bool,
 }
 
 #[derive(Subcommand)]
 enum WorkLine {
-    /// Order machines out, one after the other as the fleet can spare them, or together
+    /// Order machines out of service, one after the other as the fleet can spare them, or together
     Order {
         #[command(flatten)]
         machines: Machines,
-        /// Why, for people
+        /// Reason for the order, shown to people
         #[arg(long, default_value = "")]
         reason: String,
-        /// The order's id, 16 hex digits: a repeated order is the same order
+        /// Id of the order, 16 hex digits; repeating an order with its id creates no second order
         #[arg(long)]
         order: Option<String>,
-        /// Tell each change until the order has ended
+        /// Print each change until the order has ended
         #[arg(long)]
         wait: bool,
     },
-    /// What would go in which turn and what would wait and why, with these besides what is ordered, were each brought
-    /// back as soon as it is out; nothing is done
+    /// Show in which order these machines and those already ordered would go out and which would wait and why, assuming
+    /// that each comes back as soon as it is out; changes nothing
     Plan {
         #[command(flatten)]
         machines: Machines,
     },
-    /// Where each machine stands; only one that is 'out' may be unplugged
+    /// Show the stage of each machine; only one that is 'out' may be unplugged
     Status,
-    /// Take an order back; what is out stays out until it is back
+    /// Withdraw an order; machines that are out stay out until they are reported back
     Withdraw {
-        /// The order's id
+        /// Id of the order
         order: String,
     },
-    /// A machine is back
+    /// Report that a machine is back
     Back {
-        /// A box's id
+        /// Id of a box
         #[arg(
             long = "box",
             value_name = "ID",
@@ -246,31 +249,32 @@
             required_unless_present_any = ["parent", "router"]
         )]
         boxed: Option<u32>,
-        /// A parent's id
+        /// Id of a parent
         #[arg(long, conflicts_with = "router")]
         parent: Option<u32>,
-        /// A router's name
+        /// Name of a router
         #[arg(long)]
         router: Option<String>,
     },
-    /// Nothing more goes out, and what is not out stays in use
+    /// Stop all work: no further machine goes out, and those not yet out stay in use
     Stop,
-    /// Work goes on
+    /// Continue the work after a stop
     Go,
 }
 
+// The machines of an order or a plan.
 #[derive(clap::Args)]
 struct Machines {
-    /// A box's id on the list; may be given again
+    /// Id of a box on the list; may be repeated
     #[arg(long = "box", value_name = "ID")]
     boxes: Vec<u32>,
-    /// A parent's id on the list; may be given again
+    /// Id of a parent on the list; may be repeated
     #[arg(long = "parent", value_name = "ID")]
     parents: Vec<u32>,
-    /// A router's name; may be given again
+    /// Name of a router; may be repeated
     #[arg(long = "router", value_name = "NAME")]
     routers: Vec<String>,
-    /// All at once
+    /// Take all of them out at once
     #[arg(long)]
     together: bool,
 }
@@ -283,55 +287,58 @@
     }
 }
 
+/// Parses the id of an order of work.
 fn work_order(text: &str) -> Result<u64, String> {
     u64::from_str_radix(text, 16).map_err(|_| format!("{text:?} is no order's id: 16 hex digits"))
 }
 
 #[derive(Subcommand)]
 enum Electors {
-    /// Give a seat to a router that is named in the file and waits for one; it votes once it is level
+    /// Make a router an elector that is named in the file and waits to become one; it votes once it has caught up
     Admit {
-        /// Its name
+        /// The router's name
         name: String,
     },
-    /// Take a router's seat away
+    /// Remove a router from the electors
     Dismiss {
-        /// Its name
+        /// The router's name
         name: String,
     },
 }
 
 #[derive(Subcommand)]
 enum Keys {
-    /// Make the office's authority: authority.pem and authority.key
+    /// Create the certificate authority: authority.pem and authority.key
     Init {
-        /// The folder, made where it is absent
+        /// The folder, created if it doesn't exist
         folder: PathBuf,
-        /// Days that it holds
+        /// Validity in days
         #[arg(long, default_value_t = keys::AUTHORITY_DAYS)]
         days: u32,
     },
-    /// Make a router's certificate and key, signed by the authority
+    /// Create a router's certificate and key, signed by the authority
     Issue {
-        /// The authority's folder
+        /// Folder of the authority
         folder: PathBuf,
         /// The router's name
         name: String,
-        /// Days that it holds
+        /// Validity in days
         #[arg(long, default_value_t = keys::ROUTER_DAYS)]
         days: u32,
     },
-    /// Print whose a certificate is and until when it holds
+    /// Print the name and the expiry of a certificate
     Show {
-        /// The certificate's file
+        /// File of the certificate
         file: PathBuf,
     },
 }
 
+/// Returns an environment variable if it is set and is valid Unicode.
 fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
+/// Carries out the command; on failure returns the lines for standard error.
 fn run(command: Command) -> Result<(), Vec<String>> {
     let one = |e: String| vec![format!("silverspindle: {e}")];
     let io = |e: std::io::Error| one(e.to_string());
@@ -388,6 +395,7 @@
     Ok(())
 }
 
+/// Carries out a `fleet` subcommand that asks the electors.
 async fn fleet(staff: &Staff, what: Fleet, json: bool, id: Option<ProposalId>) -> Result<(), String> {
     let change = match what {
         Fleet::Status => {
@@ -402,7 +410,7 @@
             let say = match line {
                 WorkLine::Status => {
                     let (_, work) = staff.work().await?;
-                    // What is waited for is the leader's to say; where there is none, the orders still are what they are.
+                    // Only the leader knows what the orders wait for; without a leader the orders are shown alone.
                     let why = match work.is_done() {
                         true => Vec::new(),
                         false => staff.sight().await.map_or_else(|_| Vec::new(), |(.., why)| why),
@@ -450,7 +458,7 @@
                 WorkLine::Back { boxed, parent, router } => {
                     let machine = boxed.map(Machine::Box).or(parent.map(Machine::Parent));
                     let machine = machine.or(router.map(Machine::Router));
-                    Say::Back(machine.ok_or("which one?")?)
+                    Say::Back(machine.ok_or("--box, --parent or --router is required")?)
                 }
                 WorkLine::Stop => Say::Stop(true),
                 WorkLine::Go => Say::Stop(false),
@@ -459,7 +467,7 @@
             return tell(id, &reply, json);
         }
         Fleet::Rules(line) => return rules(staff, line, json).await,
-        Fleet::Purge(_) => return Err("is asked of the sources".to_owned()),
+        Fleet::Purge(_) => return Err("'fleet purge' asks the sources, not the electors".to_owned()),
         Fleet::Join { name } => Change::Join { name, life: 0 },
         Fleet::Forget { name, life: None } => Change::Forget { name },
         Fleet::Forget { name, life: Some(life) } => Change::Leave { name, life },
@@ -470,7 +478,7 @@
             println!("{settled} decisions in {took:.2} s, {:.0} a second", settled as f64 / took);
             return Ok(());
         }
-        // Routers go by what stands there, and by nothing else if it can't be read.
+        // Routers act on the text of these topics, and on nothing else if it can't be read.
         Fleet::Note { topic, .. } if staff::is_taken(&topic) => {
             return Err(format!("{topic} is the program's own: use 'fleet work' or 'fleet rules'"));
         }
@@ -482,7 +490,7 @@
     tell(id, &reply, json)
 }
 
-/// Reads a version's file; all faults at once.
+/// Reads a file of rules; on failure returns all faults, one per line.
 fn read_rules(file: &std::path::Path) -> Result<Rules, String> {
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}:0: file: can't be read: {e}"))?;
@@ -490,6 +498,7 @@
         .map_err(|faults| faults.iter().map(|fault| format!("{name}:{fault}")).collect::<Vec<_>>().join("\n"))
 }
 
+/// Carries out a `fleet rules` subcommand.
 async fn rules(staff: &Staff, line: RulesLine, json: bool) -> Result<(), String> {
     let said = async |number: u64| {
         let (_, state) = staff.rules().await?;
@@ -540,6 +549,7 @@
     Ok(())
 }
 
+/// Proposes a version of the rules and prints the outcome.
 async fn propose(staff: &Staff, rules: Rules, how: How, json: bool) -> Result<(), String> {
     let trial = |per_cent: u32| {
         let lasts = how.trial_for.saturating_mul(1_000_000);
@@ -571,6 +581,7 @@
     Ok(())
 }
 
+/// Prints the outcome of a proposal; a refusal is returned as an error in text mode.
 fn tell(id: ProposalId, reply: &Reply, json: bool) -> Result<(), String> {
     let said = staff::outcome(id, reply);
     if json {
--- a/silverspindle/src/management.rs
+++ b/silverspindle/src/management.rs
@@ -1,10 +1,10 @@
-//! The second address: HTTP/1.1 for staff and the platform, one call to a connection.
+//! The management address: HTTP/1.1 for operators and the platform, one call per connection.
 //!
-//! `GET /-/ready` says 200 while the router serves and 503 otherwise, `PUT /-/drain` drains, `PUT /-/resume`
-//! takes clients again. What a call means is decided by [`answer`], which does no I/O; the listener around
-//! it holds a few connections at a time, each for [`CALL_TIME`] at most, and makes room by closing the
-//! oldest: callers who never finish cost a slot and a time-out, never a stall of the others. Heads are read
-//! by `httparse` into a fixed buffer: nothing is allocated on a caller's word.
+//! `GET /-/ready` returns 200 while the router serves and 503 otherwise, `PUT /-/drain` starts a drain, `PUT /-/resume`
+//! accepts clients again. [`answer`] interprets a call and does no I/O. The listener holds a few connections at a time,
+//! each for at most [`CALL_TIME`], and closes the oldest to make room for a new one: a caller that never finishes takes up
+//! a slot until its timeout but never delays the others. Request heads are parsed by `httparse` in a fixed buffer, so no
+//! memory is allocated on a length that the caller claims.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,34 +23,36 @@
 use crate::drain::{Drain, Phase};
 use crate::limited::LimitedLine;
 
-/// Calls held at a time; the next closes the oldest.
+/// Maximum number of open calls; a further one closes the oldest.
 pub const MOST_CALLS: usize = 8;
-/// So long a caller has for its whole call: callers wait 1 s for the answer.
+/// Timeout of a whole call. Callers wait 1 s for the answer.
 pub const CALL_TIME: Duration = Duration::from_millis(900);
-/// The longest head, and the longest body that is read and thrown away.
+/// Maximum length of a request head, in bytes.
 pub const MOST_HEAD: usize = 2048;
+/// Maximum length of a request body, in bytes. Bodies are read and discarded.
 const MOST_BODY: usize = 1024;
+/// Maximum number of headers in a request.
 const MOST_HEADERS: usize = 24;
-/// Wait after a failed accept: out of descriptors, say.
+/// Delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 
-/// What to say to a call.
+/// Response to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
-    /// The status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The text of the body, one line.
+    /// Body text, one line without its line end.
     pub text: &'static str,
-    /// Bytes of the caller's body that are still to come and read before the answer.
+    /// Bytes of the request body that have not arrived yet; they are read before the response is sent.
     pub body_left: usize,
 }
 
-/// What came of the bytes read so far.
+/// Result of parsing the bytes received so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Read {
-    /// The head is not whole yet.
+    /// The head is incomplete.
     More,
-    /// The call is understood, or refused.
+    /// The call was carried out or refused.
     Answer(Answer),
 }
 
@@ -58,7 +60,7 @@
     Read::Answer(Answer { status, text, body_left: 0 })
 }
 
-/// Reads a call from the bytes that came, and carries it out on the drain.
+/// Parses a call from the bytes received so far and applies it to the drain.
 pub fn answer(bytes: &[u8], drain: &mut Drain, now: Micros) -> Read {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -109,7 +111,7 @@
     Read::Answer(Answer { status, text, body_left })
 }
 
-/// The bytes of an answer: it closes the connection.
+/// Encodes a response. It announces that the connection is closed afterwards.
 pub fn written(answer: &Answer) -> Vec<u8> {
     let reason = match answer.status {
         200 => "OK",
@@ -137,22 +139,22 @@
     .into_bytes()
 }
 
-/// The listener of the second address.
+/// Server on the management address.
 pub struct Management {
     drain: Rc<RefCell<Drain>>,
-    /// Wakes the front's sweep after a call.
+    /// Wakes the front's connection sweep after a call.
     nudge: Sender<()>,
     calls: RefCell<BTreeMap<u64, Sender<()>>>,
     next: std::cell::Cell<u64>,
 }
 
 impl Management {
-    /// Calls are carried out on this drain, which the front reads; `nudge` tells the front that it changed.
+    /// Creates a server whose calls change `drain`, which the front reads; `nudge` notifies the front of a change.
     pub fn new(drain: Rc<RefCell<Drain>>, nudge: Sender<()>) -> Rc<Self> {
         Rc::new(Self { drain, nudge, calls: RefCell::default(), next: std::cell::Cell::new(0) })
     }
 
-    /// Accepts callers, for ever.
+    /// Accepts and serves calls; never returns.
     pub async fn listen(self: Rc<Self>, listener: Async<TcpListener>, tasks: Rc<LocalExecutor<'static>>) {
         let mut line = LimitedLine::default();
         loop {
@@ -194,6 +196,7 @@
         }
     }
 
+    /// Reads one call, applies it and writes the response.
     async fn call(&self, mut stream: Async<TcpStream>) -> io::Result<()> {
         let mut buffer = [0u8; MOST_HEAD];
         let mut filled = 0;
@@ -243,7 +246,7 @@
     }
 
     #[test]
-    fn the_three_calls() {
+    fn ready_drain_and_resume_follow_the_state_of_the_drain() {
         let mut d = Drain::new();
         assert_eq!(status(said("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", &mut d)), 503);
         d.started();
@@ -251,7 +254,11 @@
         assert_eq!(status(said("PUT /-/drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n", &mut d)), 200);
         assert!(!d.ready());
         assert_eq!(status(said("GET /-/ready HTTP/1.1\r\n\r\n", &mut d)), 503);
-        assert_eq!(status(said("PUT /-/drain HTTP/1.1\r\n\r\n", &mut d)), 200, "draining twice is no fault");
+        assert_eq!(
+            status(said("PUT /-/drain HTTP/1.1\r\n\r\n", &mut d)),
+            200,
+            "a second drain call succeeds"
+        );
         assert_eq!(status(said("PUT /-/resume HTTP/1.1\r\n\r\n", &mut d)), 200);
         assert_eq!(status(said("PUT /-/resume HTTP/1.1\r\n\r\n", &mut d)), 200);
         assert_eq!(status(said("GET /-/ready HTTP/1.1\r\n\r\n", &mut d)), 200);
@@ -261,24 +268,28 @@
     }
 
     #[test]
-    fn wrong_calls_are_refused_and_change_nothing() {
+    fn invalid_calls_are_refused_and_change_nothing() {
         let mut d = Drain::new();
         d.started();
         assert_eq!(status(said("GET /-/drain HTTP/1.1\r\n\r\n", &mut d)), 405);
         assert_eq!(status(said("POST /-/ready HTTP/1.1\r\n\r\n", &mut d)), 405);
-        assert_eq!(status(said("HEAD /-/ready HTTP/1.1\r\n\r\n", &mut d)), 405, "an answer has a body");
+        assert_eq!(
+            status(said("HEAD /-/ready HTTP/1.1\r\n\r\n", &mut d)),
+            405,
+            "the response always has a body, so HEAD is not supported"
+        );
         assert_eq!(status(said("GET /metrics HTTP/1.1\r\n\r\n", &mut d)), 404);
         assert_eq!(status(said("GARBAGE\r\n\r\n", &mut d)), 400);
         assert_eq!(status(said("PUT /-/drain HTTP/1.1\r\nContent-Length: x\r\n\r\n", &mut d)), 400);
         assert_eq!(status(said("PUT /-/drain HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", &mut d)), 413);
         assert_eq!(status(said("PUT /-/drain HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", &mut d)), 411);
-        assert!(d.ready(), "no refused call drains");
+        assert!(d.ready(), "a refused call doesn't drain");
         let long = format!("GET /-/ready HTTP/1.1\r\nX: {}", "a".repeat(MOST_HEAD));
         assert_eq!(status(said(&long, &mut d)), 431);
     }
 
     #[test]
-    fn a_call_cut_at_any_byte_waits_for_the_rest() {
+    fn a_partial_call_waits_for_the_rest() {
         let whole = "PUT /-/drain HTTP/1.1\r\nHost: router\r\nContent-Length: 3\r\n\r\nyes";
         for cut in 0..whole.len() - 3 {
             let mut d = Drain::new();
@@ -286,17 +297,17 @@
             assert_eq!(
                 answer(&whole.as_bytes()[..cut], &mut d, 1),
                 Read::More,
-                "answered early at byte {cut}"
+                "answered an incomplete call of {cut} bytes"
             );
             assert!(d.ready());
         }
         let mut d = Drain::new();
         let Read::Answer(a) = answer(&whole.as_bytes()[..whole.len() - 1], &mut d, 1) else { panic!() };
-        assert_eq!((a.status, a.body_left), (200, 1), "the body's rest is read before the answer");
+        assert_eq!((a.status, a.body_left), (200, 1), "the rest of the body is read before the response");
     }
 
     #[test]
-    fn answers_close_and_say_their_length() {
+    fn responses_have_a_length_and_close_the_connection() {
         let a = Answer { status: 405, text: "use PUT", body_left: 0 };
         let text = String::from_utf8(written(&a)).unwrap();
         assert!(text.starts_with("HTTP/1.1 405 Method Not Allowed\r\nAllow: PUT\r\n"));
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts the actors and ends them: the life of a router from its configuration to its exit.
+//! Life cycle of a router process: starts the actors from the configuration, reloads on SIGHUP and shuts down.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -31,36 +31,38 @@
 use crate::upgrade::{Beside, part};
 use crate::{clock, invariant};
 
-/// Descriptors kept for all else: the listener, the coordinator, signals, the reactor.
+/// File descriptors reserved for everything but clients and peers: the listener, the coordinator, signals, the reactor.
 const OTHER_DESCRIPTORS: usize = 24;
-/// Own copies take this part of the memory, and so many bytes at most.
+/// Own copies use at most this fraction (one in N) of the memory limit, and never more than [`MOST_COPIES`] bytes.
 const COPIES_PART: usize = 8;
+/// Upper limit of the memory for own copies, in bytes.
 const MOST_COPIES: usize = 12_000_000;
-/// Moves of the coordinator that may wait to be taken in.
+/// Capacity of the queue of new coordinator addresses.
 const MOVES: usize = 4;
-/// Descriptors for caches without which a relay that has clients does not start.
+/// Minimum number of file descriptors for caches: a relay that has clients doesn't start with fewer.
 const LEAST_FOR_PEERS: usize = 16;
+/// Interval at which a shutdown checks whether the process may exit.
 const LOOK_AGAIN: Duration = Duration::from_millis(20);
-/// What an older process holds is looked at so often, while there is one.
+/// Interval at which the usage of an older process on the same address is measured, while there is one.
 const LOOK_BESIDE: Duration = Duration::from_millis(200);
-/// So often it is looked whether the exchange's address is free.
+/// Delay between two attempts to bind the exchange's address while another process holds it.
 const TAKEN_AGAIN: Duration = Duration::from_millis(100);
-/// That it is taken is said again after so long.
+/// Interval between two warnings that the exchange's address is in use, in microseconds.
 const SAY_TAKEN: bitternhold::Micros = 10_000_000;
-/// Its last word to the other routers, that it is off the roll, takes no longer; SIGKILL may be near.
+/// Timeout for reporting to the other routers that this one has left the roll. Short, as SIGKILL may follow soon.
 const LEAVE: Duration = Duration::from_millis(200);
-/// While it ends, it says every so often what it waits for.
+/// Interval of the log line that says what a shutdown waits for, in microseconds.
 const SAY_EVERY: bitternhold::Micros = 500_000;
 
-/// The actors of a router, started.
+/// A running router: handles to its actors.
 pub struct Router {
-    /// Where it listens.
+    /// Address on which clients connect, with the port that the kernel chose if the configuration says 0.
     pub address: SocketAddr,
     moves: Sender<SocketAddr>,
     coordinator: Cell<SocketAddr>,
     front: Rc<Front>,
     drain: Rc<RefCell<Drain>>,
-    /// This process's file beside a successor's, in `$TMPDIR`.
+    /// The file in `$TMPDIR` by which processes on the same address find each other; none if it can't be written.
     beside: Option<Rc<Beside>>,
     owed: Rc<Owed>,
     conf: RefCell<Conf>,
@@ -71,7 +73,8 @@
 }
 
 impl Router {
-    /// Listens, takes `known` in and starts the actors; then the router is well.
+    /// Opens the listeners, applies the `known` events of the configuration and starts the actors. On return the router
+    /// is ready.
     pub fn start(config: Config, conf: Conf, tasks: &Rc<LocalExecutor<'static>>) -> io::Result<Self> {
         config.notes.iter().for_each(|note| tracing::warn!("{note}"));
         let listener = Async::new(shared_listener(config.listen)?)?;
@@ -81,7 +84,7 @@
         let (mailbox, messages) = async_channel::bounded(director::MAILBOX);
         let (tell, news) = async_channel::bounded(director::MAILBOX);
         let exchanges = conf.exchange.as_ref().map_or(0, exchange::descriptors);
-        // The second address: its listener and the calls it holds at a time.
+        // The management address uses one descriptor for the listener and one for each open call.
         let calls = config.management.map_or(0, |_| crate::management::MOST_CALLS + 1);
         let board = Rc::new(Board::default());
         let agrees = conf.agreement.as_ref().map_or(0, agreement::descriptors);
@@ -90,7 +93,7 @@
         let peers = config.sockets.saturating_sub(most_clients(config.sockets) + others);
         if conf.relay.is_some() && peers < LEAST_FOR_PEERS {
             let lacks = format!(
-                "limits.sockets: {} leave {peers} for caches, relay-children take {relays}",
+                "limits.sockets: {} leaves {peers} file descriptors for caches, too few; relay-children uses {relays}",
                 config.sockets
             );
             return Err(io::Error::new(io::ErrorKind::InvalidInput, lacks));
@@ -116,12 +119,12 @@
         if let Some((snapshot, (me, _))) = conf.snapshot.clone().zip(who) {
             let file = snapshots::path(&snapshot.directory, me.instance);
             match snapshots::read(&file, me.instance, snapshot.most) {
-                Ok(None) => tracing::info!("no snapshot yet"),
+                Ok(None) => tracing::info!("no snapshot found"),
                 Ok(Some((away, items))) => {
-                    tracing::info!("snapshot: {} items, away {} ms", items.len(), away / 1000);
+                    tracing::info!("snapshot loaded: {} items, {} ms old", items.len(), away / 1000);
                     director.learn(away, items);
                 }
-                Err(e) => tracing::warn!("{e}; starting without it"),
+                Err(e) => tracing::warn!("{e}; starting without the snapshot"),
             }
             tasks.spawn(snapshots::run(snapshot, me.instance, mailbox.clone())).detach();
         }
@@ -246,13 +249,14 @@
         })
     }
 
-    /// Clients' connections held now.
+    /// Number of client connections currently open.
     pub fn clients(&self) -> usize {
         self.front.held().0
     }
 
-    /// Takes both configurations read anew: the coordinator may have moved, all else of the platform's stays
-    /// until a restart; of the operators' file what needs one is said. A faulty one changes nothing.
+    /// Applies both configurations after a reload. Of the platform's configuration only the coordinator's address is
+    /// applied; the rest stays until a restart. Changes to the operators' file that need a restart are logged. A faulty
+    /// configuration changes nothing.
     pub async fn reload(&self, config: Result<Config, String>, conf: Result<Conf, Vec<String>>) {
         match conf {
             Ok(conf) => {
@@ -282,7 +286,8 @@
         }
     }
 
-    /// Says that no more clients should come, serves those that still do, and returns when all is answered.
+    /// Shuts down: reports not ready, keeps serving the clients that still connect, and returns once every request has
+    /// its answer.
     pub async fn end(&self) {
         self.drain.borrow_mut().end(clock::now());
         let _ = self.front.nudger().try_send(());
@@ -291,7 +296,8 @@
             self.front.stop_accepting();
         }
         let mut said = clock::now();
-        // The listener goes once nobody comes any more; what lies in its queue is taken, read and answered first.
+        // The listener is closed once no new clients are expected; connections in its queue are accepted, read and
+        // answered first.
         let nobody = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::LINGER);
         while !self.drain.borrow().may_exit(clock::now(), self.owed.get(), self.front.settled()) {
             if clock::now() >= nobody {
@@ -308,7 +314,7 @@
             Timer::after(LOOK_AGAIN).await;
         }
         tracing::info!("since the start: {}", self.front.counters());
-        // Only now: others wait for what is answered by who is on the roll.
+        // Leave the roll only after the last answer: other routers wait for the requests of every router on the roll.
         let handle = self.agreed.borrow().clone();
         if let Some(handle) = handle {
             let late = async {
@@ -319,7 +325,8 @@
     }
 }
 
-/// The keys for connections to other routers: the exchange's where it is on, as those are read anew on SIGHUP.
+/// Returns the TLS keys for connections to other routers: those of the exchange where it is on, as it reloads them on
+/// SIGHUP, otherwise those read from `files`.
 fn keys_of(hub: Option<&Hub>, files: &Files) -> io::Result<Rc<RefCell<Tls>>> {
     match hub {
         Some(hub) => Ok(hub.tls.clone()),
@@ -327,7 +334,8 @@
     }
 }
 
-/// While an older process of this router stands beside it, both keep to one limit: this one takes what that one leaves.
+/// Lowers the limits of this process while an older process serves on the same address, so that both together stay
+/// within one limit: this process may use what the older one leaves.
 async fn share(
     beside: Rc<Beside>,
     (sockets, memory): (usize, usize),
@@ -335,7 +343,8 @@
 ) {
     let all = descriptors.all();
     let keep_to = |sockets_left: usize, memory_left: usize| {
-        // Clients move from the one to the other, and hold their third together: the rest is the peers'.
+        // Clients move from one process to the other, and both together use the third reserved for clients. The
+        // reduction therefore applies to the peers' descriptors.
         descriptors.keep_to(all.saturating_sub(sockets - sockets_left).max(all / 4));
         front.keep_to(memory_left);
         let _ = director.try_send(Message::Room((memory_left / COPIES_PART).min(MOST_COPIES)));
@@ -349,8 +358,8 @@
     tracing::info!("the older process has ended: the limits are this one's");
 }
 
-/// Where the exchange listens. An older process of this router, in an upgrade, may have the address yet: it is waited
-/// for while this one serves.
+/// Binds the exchange's listener. During an upgrade the older process may still hold the address; the returned future
+/// then retries until the address is free, while this process serves already.
 fn exchange_listener(address: SocketAddr) -> io::Result<impl Future<Output = Async<TcpListener>>> {
     let first = match Async::<TcpListener>::bind(address) {
         Ok(listener) => Some(listener),
@@ -379,13 +388,13 @@
                 }
             },
         };
-        tracing::info!("gives on {address}");
+        tracing::info!("exchange listening on {address}");
         listener
     })
 }
 
-/// The clients' address, shared with a process that upgrades this one (SO_REUSEPORT): both take connections
-/// while they overlap, and neither refuses one.
+/// Binds the clients' address with SO_REUSEPORT, so that a newer process can bind it too during an upgrade: both accept
+/// connections while they overlap, and no connection is refused.
 fn shared_listener(address: SocketAddr) -> io::Result<TcpListener> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
@@ -396,11 +405,11 @@
     Ok(socket.into())
 }
 
-/// Both configurations, read anew.
+/// Result of reloading the platform's configuration and the operators' file.
 pub type Anew = (Result<Config, String>, Result<Conf, Vec<String>>);
 
-/// Serves until a signal to end, then answers what is owed and returns. On SIGHUP the configuration is read
-/// anew.
+/// Runs a router until SIGTERM or SIGINT, answers the requests that are still open and returns. On SIGHUP both
+/// configurations are read again with `again`.
 pub fn serve(config: Config, conf: Conf, again: impl Fn() -> Anew) -> io::Result<()> {
     let signals = Signals::new()?;
     let tasks = Rc::new(LocalExecutor::new());
@@ -421,8 +430,8 @@
     Ok(())
 }
 
-/// Signals as bytes on pipes, one for ending (SIGTERM, SIGINT) and one for SIGHUP. Pipes and not a socket
-/// pair: the fleet's platform has no Unix sockets.
+/// Receives signals as bytes on two pipes, one for SIGTERM and SIGINT, the other for SIGHUP. These are pipes and not
+/// socket pairs because the fleet's platform has no Unix sockets.
 struct Signals {
     end: Async<std::io::PipeReader>,
     hup: Async<std::io::PipeReader>,
@@ -432,7 +441,7 @@
     fn new() -> io::Result<Self> {
         use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
         use signal_hook::low_level::pipe::register;
-        // The handler must never block on a full pipe: the writing ends are made non-blocking as well.
+        // A signal handler must never block on a full pipe, so the write ends are non-blocking as well.
         let writer = |w: std::io::PipeWriter| Async::new(w)?.into_inner();
         let (end, end_writer) = std::io::pipe()?;
         let end_writer = writer(end_writer)?;
@@ -443,7 +452,8 @@
         Ok(Self { end: Async::new(end)?, hup: Async::new(hup)? })
     }
 
-    /// The next signal: false for an end, true for SIGHUP. Several SIGHUP that came together are one.
+    /// Waits for the next signal: false for SIGTERM or SIGINT, true for SIGHUP. SIGHUPs that arrive together count as
+    /// one.
     async fn next(&self) -> bool {
         future::or(
             async {
@@ -456,7 +466,7 @@
     }
 }
 
-/// Reads what signals wrote.
+/// Waits for signals on a pipe and reads the bytes that they wrote.
 async fn drained(pipe: &Async<std::io::PipeReader>) -> io::Result<usize> {
     pipe.read_with(|mut reader| std::io::Read::read(&mut reader, &mut [0u8; 64])).await
 }
--- a/silverspindle/src/steady.rs
+++ b/silverspindle/src/steady.rs
@@ -1,12 +1,12 @@
-//! The steady clock that counts suspended time: what leases and the ages of confirmations go by.
+//! The monotonic clock that includes suspended time (`CLOCK_BOOTTIME`). Leases and the ages of confirmations use it.
 
 use bitternhold::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Steady clocks run wrong by so many parts in a million at most: a bad crystal's tenfold.
+/// Assumed maximum drift of a monotonic clock, in parts per million: ten times that of a bad crystal oscillator.
 pub(crate) const DRIFT_PPM: u64 = 1000;
 
-/// Now, in microseconds. It never goes back, and goes on while the machine sleeps.
+/// Returns the current time in microseconds. It never goes backwards and advances while the machine is suspended.
 pub fn steady() -> Micros {
     let time = clock_gettime(ClockId::Boottime);
     (time.tv_sec as u64).saturating_mul(1_000_000) + (time.tv_nsec as u64) / 1000
--- a/silverspindle/src/trials.rs
+++ b/silverspindle/src/trials.rs
@@ -1,4 +1,4 @@
-//! `silverspindle try`: this program between stand-ins on loopback, in one of the rigs.
+//! `silverspindle try`: runs this program between stand-ins on loopback, in one of the test rigs.
 
 use std::rc::Rc;
 
@@ -7,114 +7,120 @@
 use silverspindle_standins::rig::purges::{self, Tree};
 use silverspindle_standins::{SECOND, rig, soak, trial};
 
+/// Microseconds in a millisecond.
 const MS: u64 = 1000;
-/// The stated time of routers that agree, and the lease of the purge log, where the line names none.
+/// Default lease of the agreement (its stated time), in milliseconds.
 const AGREE_WITHIN_MS: u64 = 2000;
+/// Default lease of the purge log, in milliseconds.
 const PURGES_WITHIN_MS: u64 = 3000;
-/// Batches of the purge log come so often in a trial.
+/// Interval of the batches of the purge log in a trial, in milliseconds.
 const BATCH_MS: u64 = 200;
-/// Hollow routers go by what the operators' file has by default.
+/// Default lease of hollow routers, in milliseconds. This and the next three are the defaults of the operators' file.
 const HOLLOW_WITHIN_MS: u64 = 5000;
+/// Lease of a hollow router that follows the coordinator directly, in milliseconds.
 const HOLLOW_DIRECT_MS: u64 = 3000;
+/// Minimum interval between the batches sent to hollow routers, in milliseconds.
 const HOLLOW_BATCH_MS: u64 = 500;
+/// Interval of the reports of a hollow router, in milliseconds.
 const HOLLOW_REPORT_MS: u64 = 1000;
-/// Purges a second of the whole fleet at the target.
+/// Purges per second of the whole fleet at the target size.
 const HOLLOW_PURGES: u64 = 110;
 
-/// The command's arguments.
+/// Arguments of `silverspindle try`.
 #[derive(clap::Args)]
 pub struct Line {
-    /// How long traffic lasts
+    /// Duration of the traffic in seconds
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Routers
+    /// Number of routers
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=100))]
     routers: u8,
-    /// Items a second to all of them
+    /// Items per second, to all routers together
     #[arg(long, default_value_t = 300.0)]
     rate: f64,
-    /// Seed of all that is drawn
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Kill the first router after so many seconds and start it again
+    /// Kill the first router after this number of seconds and start it again
     #[arg(long)]
     kill: Option<u64>,
-    /// What is wrong around the kill
+    /// Fault that is present around the kill
     #[arg(long, value_enum, default_value_t = Trouble::None)]
     trouble: Trouble,
-    /// How it learns then
+    /// Where the restarted router gets its knowledge from
     #[arg(long, value_enum, default_value_t = Inherit::No)]
     inherit: Inherit,
-    /// Drain a box, slow the head office, restart a box and purge on the way
+    /// During the traffic, drain a box, slow down the head office, restart a box, purge a group and stall a box
     #[arg(long)]
     rough: bool,
-    /// Signals, drains, upgrades, kills, clock steps and faulty caches drawn from the seed, judged by the protocol's rules
+    /// Signals, drains, upgrades, kills, clock steps and faulty caches chosen by the seed, checked against the protocol's rules
     #[arg(long, conflicts_with_all = ["agree", "rough", "kill"])]
     soak: bool,
-    /// With --soak: another build of the program in place of this one
+    /// With --soak: run another build of the program instead of this one
     #[arg(long, value_name = "FILE", requires = "soak")]
     program: Option<std::path::PathBuf>,
-    /// The routers agree on decisions, with proxies between them; judged from their records
+    /// Let the routers agree on decisions, with proxies between them, and check the records that they write
     #[arg(long)]
     agree: bool,
-    /// With --agree: electors, 1, 3 or 5 (3, or 1 where there are fewer routers)
+    /// With --agree: number of electors, 1, 3 or 5 (default 3, or 1 with fewer than 3 routers)
     #[arg(long)]
     electors: Option<u8>,
-    /// With --agree or --purges: what goes wrong, a file of lines AT LASTS KIND or 'random' by the seed
+    /// With --agree or --purges: faults to inject, a file of lines AT LASTS KIND, or 'random' to draw them by the seed
     #[arg(long, value_name = "SCRIPT|random")]
     faults: Option<String>,
-    /// With --agree: boxes are ordered out, worked on and brought back on the way
+    /// With --agree: order boxes out of service, work on them and bring them back during the traffic
     #[arg(long)]
     work: bool,
-    /// With --agree: boxes; parents are two
+    /// With --agree: number of boxes; there are always two parents
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u32).range(1..=40))]
     boxes: u32,
-    /// With --work: every box and parent is worked on once, by one order or by hand through the coordinator; without
-    /// --work, by hand: staff change the routers' files one after the other
+    /// With --work: work on every box and parent once, by a single order or by hand through the coordinator; without --work,
+    /// 'hand' lets operators change the routers' files one after the other
     #[arg(long, value_enum)]
     round: Option<Round>,
-    /// With --agree: versions of rules are proposed on the way
+    /// With --agree: propose versions of the rules during the traffic
     #[arg(long)]
     rules: bool,
-    /// With --work: routers, too
+    /// With --work: order routers out as well
     #[arg(long)]
     routers_too: bool,
-    /// With --work: a router that is cut off serves on, and holds all work up
+    /// With --work: a router that is cut off keeps serving, and holds up all work
     #[arg(long)]
     hold: bool,
-    /// With --agree: staff make no calls meanwhile, to measure what idle routers cost
+    /// With --agree: operators make no calls, to measure the cost of idle routers
     #[arg(long)]
     quiet: bool,
-    /// With --agree or --purges: the stated time or lease, in milliseconds (2000, 3000 for purges)
+    /// With --agree or --purges: the lease in milliseconds (default 2000, 3000 for purges)
     #[arg(long, value_parser = clap::value_parser!(u64).range(500..=60_000))]
     within_ms: Option<u64>,
-    /// The routers take purges from relays, with proxies between all of them; judged from their records
+    /// Let the routers receive purges from relays, with proxies between all of them, and check the records that they write
     #[arg(long, conflicts_with = "agree")]
     purges: bool,
-    /// With --purges: relays, one a zone
+    /// With --purges: number of relays, one per zone
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u8).range(1..=20))]
     relays: u8,
-    /// With --purges: sources
+    /// With --purges: number of sources
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=3))]
     sources: u8,
-    /// With --purges: purges and list events a second
+    /// With --purges: purges and list events per second
     #[arg(long, default_value_t = 20.0)]
     events: f64,
-    /// So many hollow routers, one size after the other: cores of the purge log with a connection each, several to a
-    /// process, below --relays and --sources; what that costs
+    /// Measure the cost of these numbers of hollow routers, one after the other. A hollow router is the core of the purge
+    /// log with a connection of its own; several share a process, below --relays and --sources
     #[arg(long, value_delimiter = ',', value_name = "N[,N...]", conflicts_with_all = ["agree", "purges"])]
     hollow: Vec<usize>,
-    /// With --hollow: routers that one process holds
+    /// With --hollow: number of routers per process
     #[arg(long, default_value_t = 400, value_parser = clap::value_parser!(u16).range(1..=2000))]
     per_process: u16,
-    /// With --hollow: a row of JSON for each size
+    /// With --hollow: print a line of JSON for each size
     #[arg(long)]
     json: bool,
 }
 
+/// Where a restarted router gets its knowledge from.
 #[derive(Clone, Copy, clap::ValueEnum)]
 enum Inherit {
-    /// Not at all
+    /// Nowhere
     No,
     /// From the other routers
     Exchange,
@@ -122,25 +128,27 @@
     Snapshot,
 }
 
+/// How every machine is worked on once.
 #[derive(Clone, Copy, clap::ValueEnum)]
 enum Round {
-    /// One order over all
+    /// A single order for all machines
     Order,
-    /// One machine after the other
+    /// By hand, one machine after the other
     Hand,
 }
 
+/// Fault that is present around the kill.
 #[derive(Clone, Copy, clap::ValueEnum)]
 enum Trouble {
-    /// Nothing
+    /// No fault
     None,
-    /// A box stalls from five seconds before on
+    /// A box stalls, starting five seconds before the kill
     Stall,
-    /// The head office takes four times as long from five seconds before on
+    /// The head office takes four times as long, starting five seconds before the kill
     Office,
 }
 
-/// Runs it; all that went wrong.
+/// Runs the trial; on failure returns the lines for standard error.
 pub fn run(line: Line) -> Result<(), Vec<String>> {
     if line.agree {
         return agree(line);
@@ -157,6 +165,7 @@
     count(line)
 }
 
+/// Returns a single problem as the lines for standard error.
 fn one(problem: String) -> Vec<String> {
     vec![format!("silverspindle: {problem}")]
 }
@@ -165,7 +174,7 @@
     one(error.to_string())
 }
 
-/// Plays something on an executor of its own.
+/// Runs a trial on an executor of its own.
 fn play<T>(
     play: impl AsyncFnOnce(&Rc<LocalExecutor<'static>>) -> std::io::Result<T>,
 ) -> Result<T, Vec<String>> {
@@ -173,6 +182,7 @@
     async_io::block_on(tasks.run(play(&tasks))).map_err(io)
 }
 
+/// Runs a soak and prints its report.
 fn soak(line: &Line) -> Result<(), Vec<String>> {
     let program = match &line.program {
         Some(program) => program.clone(),
@@ -184,11 +194,12 @@
     kept(outcome.broken.is_empty())
 }
 
+/// Fails if a promise of the protocol was broken.
 fn kept(is_good: bool) -> Result<(), Vec<String>> {
     if is_good { Ok(()) } else { Err(one("a promise was broken".to_owned())) }
 }
 
-/// Faults by the seed or by a file's script.
+/// Returns the faults to inject: none, random ones, or those of a script file.
 fn faults<F>(
     named: Option<&str>,
     random: impl FnOnce() -> Vec<F>,
@@ -204,6 +215,7 @@
     }
 }
 
+/// Runs routers that agree on decisions and prints the report.
 fn agree(line: Line) -> Result<(), Vec<String>> {
     let Line { seconds, routers, rate, seed, .. } = line;
     let electors = line.electors.unwrap_or(if routers < 3 { 1 } else { 3 }).min(routers);
@@ -236,6 +248,7 @@
     kept(outcome.is_good())
 }
 
+/// Runs routers that receive purges from relays and prints the report.
 fn purges(line: Line) -> Result<(), Vec<String>> {
     let Line { seconds, seed, .. } = line;
     let tree =
@@ -262,7 +275,7 @@
     kept(outcome.is_good())
 }
 
-/// A row for each size; a size that does not come about ends it.
+/// Measures and prints each size of hollow routers; stops at the first size that fails.
 fn hollow(line: &Line) -> Result<(), Vec<String>> {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let command = format!("silverspindle {}", words.join(" "));
@@ -287,14 +300,14 @@
             false => print!("{}", row.text()),
         }
         if !row.is_whole() {
-            let why = "a purge was not everywhere, or a router was without a parent at the end";
+            let why = "a purge did not reach all routers, or a router had no parent at the end";
             return Err(one(format!("{routers} hollow routers: {why}")));
         }
     }
     Ok(())
 }
 
-/// Counts every item's one final answer.
+/// Runs a trial that checks that every item gets exactly one final answer.
 fn count(line: Line) -> Result<(), Vec<String>> {
     let Line { seconds, routers, rate, seed, .. } = line;
     let inherit = match line.inherit {
@@ -320,6 +333,6 @@
     print!("{}", trial::report(&outcome));
     match outcome.is_good() {
         true => Ok(()),
-        false => Err(one("an item without its one final answer, or a rule broken".to_owned())),
+        false => Err(one("an item did not get exactly one final answer, or a rule was broken".to_owned())),
     }
 }
--- a/silverspindle/src/upgrade.rs
+++ b/silverspindle/src/upgrade.rs
@@ -1,13 +1,15 @@
-//! Two processes of one router during an upgrade: the platform starts `run` again beside the old one, on the
-//! same clients' address, and sends the old one SIGTERM once the new one is ready.
+//! Overlap of two processes of one router during an upgrade: the platform starts `run` again while the old process
+//! still serves, on the same clients' address, and sends the old one SIGTERM once the new one is ready.
 //!
-//! Each process leaves a file in `$TMPDIR` named after the clients' address and its process id, holding the
-//! time it started. Which one is younger the kernel's account of their starts says, which no step of the wall clock
-//! touches; the files' times decide only where that tells no difference. An ending process that finds a younger one
-//! alive on its address knows it has a successor: it stops accepting at once, so that the kernel sends every new connection to the successor, instead of
-//! lingering on a listener whose queue would be reset at its exit. Without a successor it lingers as a
-//! planned restart wants. Files of processes that are gone are removed at each start; the own one at exit.
-//! Deciding is pure ([`successor`], [`name`], [`parse`]); the few file calls are in [`Beside`].
+//! Each process writes a file in `$TMPDIR` named after the clients' address and its process id, containing its start
+//! time. Which process is younger is decided by the kernel's start times, which steps of the wall clock don't change;
+//! the times in the files are compared only where those are equal. A process that shuts down and finds a younger live
+//! process on its address has a successor: it stops accepting at once, so that the kernel sends every new connection to
+//! the successor. If it kept its listener open, the connections in the queue would be reset at its exit. Without a
+//! successor it keeps accepting for a while, as a planned restart requires. Each start removes the files of processes
+//! that no longer exist; each process removes its own file at exit.
+//!
+//! The decisions are pure functions ([`successor`], [`name`], [`parse`]); the file operations are in [`Beside`].
 
 use std::fs;
 use std::net::SocketAddr;
@@ -15,18 +17,20 @@
 
 use crate::clock::Stamp;
 
+/// Start of the file's name.
 const PREFIX: &str = "silverspindle-";
+/// End of the file's name.
 const SUFFIX: &str = ".live";
-/// Files looked at, at most: more would be no upgrade.
+/// Maximum number of files that are examined; an upgrade has far fewer.
 const MOST_FILES: usize = 64;
 
-/// The file's name of a process on a clients' address.
+/// Returns the file name for a process on a clients' address.
 pub fn name(listen: SocketAddr, pid: u32) -> String {
     let address = listen.to_string().replace([':', '[', ']'], "_");
     format!("{PREFIX}{address}-{pid}{SUFFIX}")
 }
 
-/// The process id in a file's name, if the name is one of this address.
+/// Returns the process id in a file name, or none if the name doesn't belong to this address.
 pub fn parse(file: &str, listen: SocketAddr) -> Option<u32> {
     let own = name(listen, 0);
     let stem = own.strip_suffix(&format!("0{SUFFIX}"))?;
@@ -34,39 +38,40 @@
     (!pid.is_empty() && pid.bytes().all(|b| b.is_ascii_digit())).then(|| pid.parse().ok())?
 }
 
-/// When a process started.
+/// Start time of a process. Ordered by the kernel's time first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Start {
-    /// By the kernel, in ticks since the machine's own start; 0 where it does not tell.
+    /// Start time from the kernel, in clock ticks since boot; 0 if the kernel doesn't report it.
     pub ticks: u64,
-    /// By the process itself, in its file.
+    /// Wall-clock time that the process wrote to its file.
     pub stamp: Stamp,
 }
 
 impl Start {
-    /// Of a process that says so itself.
+    /// Reads the kernel's start time of a process and combines it with the time from its file.
     fn of(pid: u32, stamp: Stamp) -> Self {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-        // The name may hold blanks and brackets; behind its end the start is the twentieth field.
+        // The program name may contain blanks and brackets; after its closing bracket the start time is the twentieth field.
         let rest = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
         let ticks = rest.split_whitespace().nth(19).and_then(|ticks| ticks.parse().ok());
         Self { ticks: ticks.unwrap_or(0), stamp }
     }
 }
 
-/// Whether one of the others, each a process id with its start and whether it lives, is a successor of a
-/// process started at `started`: alive, another, and younger.
+/// Whether one of the others, given as process id, start time and whether it is alive, is a successor of the process
+/// `me` started at `started`: another live process that is younger.
 pub fn successor(me: u32, started: Start, others: impl IntoIterator<Item = (u32, Start, bool)>) -> bool {
     others.into_iter().any(|(pid, since, alive)| alive && pid != me && since > started)
 }
 
-/// Of a limit that holds for both processes together, what this one may take while the others have so much of it. A
-/// quarter at least: what serves from now on must not be without.
+/// Returns this process's part of a limit that applies to all processes together, given the usage of the others. At
+/// least a quarter, as this is the process that keeps serving and it must not be left with nothing.
 pub fn part(limit: usize, others: usize) -> usize {
     limit.saturating_sub(others).max(limit / 4)
 }
 
-/// Descriptors and bytes of memory that a process holds, by the kernel's account; none where it is gone.
+/// Returns the number of open file descriptors and the resident memory in bytes of a process, as reported by the kernel;
+/// zeros if it no longer exists.
 fn held(pid: u32) -> (usize, usize) {
     let descriptors = fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
@@ -75,7 +80,7 @@
     (descriptors, kb.unwrap_or(0) * 1024)
 }
 
-/// This process's file, and what it finds beside itself.
+/// The file of this process and its view of the other processes on the same address.
 #[derive(Debug)]
 pub struct Beside {
     directory: PathBuf,
@@ -84,15 +89,15 @@
     started: Start,
 }
 
-/// Whether a process lives and is a router: a process id that was given anew to another program is none.
+/// Whether a process is alive and is a router. The kernel may have reused the process id for another program.
 fn alive(pid: u32) -> bool {
     fs::read(format!("/proc/{pid}/cmdline"))
         .is_ok_and(|line| String::from_utf8_lossy(&line).contains("silverspindle"))
 }
 
 impl Beside {
-    /// Removes the files of processes that are gone and writes the own one. Off where the directory can't be
-    /// written: then no successor is ever found, and an end lingers.
+    /// Removes the files of processes that no longer exist and writes this process's file. Returns none if the directory
+    /// can't be written: then no successor is ever found, and a shutdown always keeps accepting for a while.
     pub fn enter(directory: &Path, listen: SocketAddr, started: Stamp) -> Option<Self> {
         let pid = std::process::id();
         let me = Self { directory: directory.to_owned(), listen, pid, started: Start::of(pid, started) };
@@ -110,7 +115,7 @@
         }
     }
 
-    /// The other processes on this address, with their starts.
+    /// Returns the other processes on this address with their start times.
     fn others(&self) -> Vec<(u32, Start)> {
         let Ok(entries) = fs::read_dir(&self.directory) else { return Vec::new() };
         let pids = entries.take(4 * MOST_FILES).filter_map(|entry| {
@@ -124,7 +129,8 @@
         pids.take(MOST_FILES).map(|pid| (pid, Start::of(pid, stamp(pid)))).collect()
     }
 
-    /// What older processes on this address hold, descriptors and bytes of memory; none: there is none any more.
+    /// Returns the file descriptors and bytes of memory that older processes on this address use together; none if no older
+    /// process is left.
     pub fn elders(&self) -> Option<(usize, usize)> {
         let older = self.others().into_iter().filter(|(pid, since)| *since < self.started && alive(*pid));
         let held: Vec<(usize, usize)> = older.map(|(pid, _)| held(pid)).collect();
@@ -153,7 +159,7 @@
     use super::*;
 
     #[test]
-    fn names_are_per_address_and_process() {
+    fn file_names_are_unique_per_address_and_process() {
         let a: SocketAddr = "127.0.0.1:6565".parse().unwrap();
         let b: SocketAddr = "127.0.0.2:6565".parse().unwrap();
         assert_eq!(name(a, 42), "silverspindle-127.0.0.1_6565-42.live");
@@ -166,42 +172,45 @@
     }
 
     #[test]
-    fn a_successor_is_alive_another_and_younger() {
+    fn a_successor_is_another_live_and_younger_process() {
         let start = |ticks, stamp| Start { ticks, stamp: Stamp::from_micros(stamp) };
         let own = start(100, 100);
         assert!(!successor(1, own, []));
         assert!(successor(1, own, [(2, start(200, 200), true)]));
-        assert!(!successor(1, own, [(2, start(200, 200), false)]), "a killed one left its file");
-        assert!(!successor(1, own, [(2, start(50, 50), true)]), "the older one is no successor");
-        assert!(!successor(1, own, [(1, start(200, 200), true)]), "nor the process itself");
+        assert!(!successor(1, own, [(2, start(200, 200), false)]), "a killed process left its file behind");
+        assert!(!successor(1, own, [(2, start(50, 50), true)]), "an older process is no successor");
+        assert!(!successor(1, own, [(1, start(200, 200), true)]), "a process doesn't succeed itself");
         assert!(
             successor(1, own, [(2, start(200, 50), true)]),
             "the wall clock was set back between the starts"
         );
-        assert!(!successor(1, own, [(2, start(50, 200), true)]), "or forward");
-        assert!(successor(1, own, [(2, start(100, 200), true)]), "within a tick the files tell");
+        assert!(
+            !successor(1, own, [(2, start(50, 200), true)]),
+            "the wall clock was set forward between the starts"
+        );
+        assert!(successor(1, own, [(2, start(100, 200), true)]), "same tick: the times in the files decide");
     }
 
-    /// Both processes of an upgrade keep to one limit: what the older one holds the younger leaves, but for a quarter.
+    /// Both processes of an upgrade share one limit: the younger one gets what the older one leaves, at least a quarter.
     #[test]
-    fn a_limit_is_shared_with_who_stands_beside() {
+    fn a_limit_is_shared_with_the_older_process() {
         assert_eq!((part(192, 0), part(192, 100), part(192, 190)), (192, 92, 48));
         let (descriptors, memory) = held(std::process::id());
         assert!(descriptors >= 3 && memory > 1_000_000, "{descriptors} {memory}");
-        assert_eq!(held(4_999_999), (0, 0), "gone");
+        assert_eq!(held(4_999_999), (0, 0), "no such process");
     }
 
     #[test]
-    fn files_of_the_gone_are_removed_and_the_own_at_exit() {
+    fn stale_files_are_removed_at_start_and_the_own_file_at_exit() {
         let directory = std::env::temp_dir().join(format!("upgrade-test-{}", std::process::id()));
         fs::create_dir_all(&directory).unwrap();
         let listen: SocketAddr = "127.0.0.9:1".parse().unwrap();
-        // A process id above any the kernel gives: its file is stale.
+        // The process id is above the kernel's maximum, so the file is stale.
         let stale = directory.join(name(listen, 4_999_999));
         fs::write(&stale, "5").unwrap();
         fs::write(directory.join("silverspindle-127.0.0.9_1-x.live"), "junk").unwrap();
         let me = Beside::enter(&directory, listen, Stamp::from_micros(10)).unwrap();
-        assert!(me.started.ticks > 0, "the kernel tells");
+        assert!(me.started.ticks > 0, "the kernel reports the start time");
         assert!(!stale.exists());
         let own = directory.join(name(listen, std::process::id()));
         assert_eq!(fs::read_to_string(&own).unwrap(), "10");
--- a/silverspindle/tests/cli.rs
+++ b/silverspindle/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The binary: its command line, and its life as a process.
+//! Tests of the binary: command line, start, reload and end of the process.
 
 mod common;
 
@@ -13,14 +13,14 @@
     }
     let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
     if let (Some(text), Some(mut input)) = (config, child.stdin.take()) {
-        // A program that has found its fault reads no further.
+        // The program may exit on a fault before it has read everything.
         let _ = input.write_all(text.as_bytes());
     }
     child.wait_with_output().unwrap()
 }
 
 #[test]
-fn sub_commands_do_as_they_say() {
+fn subcommands_succeed_and_unknown_ones_fail() {
     let version = run(&["version"], None);
     assert!(
         version.status.success() && String::from_utf8_lossy(&version.stdout).starts_with("silverspindle 0.")
@@ -32,9 +32,9 @@
     }
 }
 
-/// Guards against an operators' file that is found faulty line by line, or only once the router runs.
+/// Guards against an operators' file whose faults are reported one per run, or only once the router runs.
 #[test]
-fn faults_of_the_operators_file_come_all_at_once() {
+fn all_faults_of_the_operators_file_are_reported_at_once() {
     let path =
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("faulty-{}", std::process::id()));
     let file = path.to_str().unwrap();
@@ -60,9 +60,9 @@
     assert!(String::from_utf8_lossy(&shown).contains("snapshot-directory '/a b'\nsnapshot-every 5s\n"));
 }
 
-/// A line a JSON object, with fields by name.
+/// With `LB_LOG_FORMAT=json` each log line is a JSON object with named fields.
 #[test]
-fn log_lines_are_json_where_asked_for() {
+fn log_lines_are_json_if_configured() {
     let (_coordinator, address) = common::listen();
     let file = common::configuration(&[common::entry(1, "box", address)], address);
     let mut child = Command::new(env!("CARGO_BIN_EXE_silverspindle"))
@@ -82,10 +82,10 @@
     assert!(child.wait().unwrap().success());
 }
 
-/// The set-up's one command: a router between stand-ins, every item with its one final answer, through a drain, a
-/// slow head office, a cold box, a purge, a stalled box, and the router's death.
+/// Runs `silverspindle try`, a router between stand-ins: every item gets exactly one final answer through a drain, a
+/// slow head office, a cold box, a purge, a stalled box and a kill of the router.
 #[test]
-fn a_trial_counts_every_items_one_answer() {
+fn in_a_trial_every_item_gets_exactly_one_final_answer() {
     let out = run(
         &["try", "--seconds", "4", "--rate", "60", "--rough", "--kill", "2", "--inherit", "snapshot"],
         None,
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn completion_and_manual_name_the_commands() {
+fn completion_manual_and_help_name_the_commands() {
     for args in [&["completion", "bash"][..], &["man"], &["help"]] {
         let out = run(args, None);
         assert!(out.status.success() && String::from_utf8_lossy(&out.stdout).contains("show"), "{args:?}");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn bad_configuration_ends_it_and_names_the_key() {
+fn bad_configuration_ends_the_process_and_names_the_key() {
     for command in ["serve", "check-config"] {
         for (config, key) in
             [(None, "LB_CONFIG"), (Some("{"), "LB_CONFIG"), (Some(r#"{"name":"n0"}"#), "listen")]
@@ -116,9 +116,9 @@
     }
 }
 
-/// Guards against counting as a crash at a planned restart: after SIGTERM the program ends by itself, with 0.
+/// Guards against a planned restart that counts as a crash: after SIGTERM the process exits by itself with status 0.
 #[test]
-fn it_ends_by_itself_after_sigterm() {
+fn the_process_exits_with_0_after_sigterm() {
     let (_coordinator, address) = common::listen();
     let file = common::configuration(&[common::entry(1, "box", address)], address);
     let mut child = Command::new(env!("CARGO_BIN_EXE_silverspindle"))
@@ -139,10 +139,11 @@
     assert!(child.wait().unwrap().success());
 }
 
-/// Guards against ending on SIGHUP, and against a faulty file that undoes a good one: the coordinator that a
-/// good file names is asked, from the last number on; a faulty one is logged with its key.
+/// Guards against an exit on SIGHUP, and against a faulty file that replaces a good configuration. After a good file the
+/// router connects to the coordinator named there and resumes from the last event number; a faulty file is logged with
+/// its key.
 #[test]
-fn sighup_reads_the_configuration_anew() {
+fn sighup_reloads_the_configuration() {
     let ((_old, first), (new, second)) = (common::listen(), common::listen());
     let path =
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("sighup-{}.json", std::process::id()));
--- a/silverspindle/tests/clock_steps.rs
+++ b/silverspindle/tests/clock_steps.rs
@@ -1,5 +1,5 @@
-//! The wall clock of a running router is stepped by seconds and by an hour, forward and back: deadlines, drains and the end
-//! are spans of real time and don't notice.
+//! Steps the wall clock of a running router by seconds and by an hour, forward and back. Deadlines, drains and the shutdown
+//! measure elapsed time and must not be affected.
 
 mod common;
 
@@ -15,13 +15,14 @@
 use futures_lite::AsyncWriteExt;
 use silverspindle_standins::shim::ClockStep;
 
+/// A second in microseconds.
 const SECOND: i64 = 1_000_000;
-/// Steps, in microseconds.
+/// Steps of the wall clock, in microseconds.
 const STEPS: [i64; 4] = [5 * SECOND, -5 * SECOND, 3600 * SECOND, -3600 * SECOND];
-/// Requests before the step.
+/// Number of requests before the step.
 const WARM_UP: i32 = 4;
 
-/// A router under a clock of its own, and how a test goes on with it.
+/// A router process whose wall clock the test controls, with a client that keeps sending.
 struct Stepped {
     router: Router,
     clock: ClockStep,
@@ -31,7 +32,7 @@
 }
 
 impl Stepped {
-    /// A client of this habit sends through it.
+    /// Starts the router, a cache behind it and a client with the given habit; returns after [`WARM_UP`] requests.
     async fn start(
         tasks: &Tasks,
         habit: Habit,
@@ -46,7 +47,7 @@
         let clock = ClockStep::new(directory.path()).unwrap();
         let variables = clock.variables().map(|(name, value)| (name, Path::new(value)));
         let mut router = start_with(&file, &format!("{}:0", ip()), directory.path(), &variables);
-        // Its log must not fill the pipe.
+        // Read the log, so that the pipe never fills up.
         let lines = std::mem::replace(&mut router.lines, Box::new(std::iter::empty()));
         std::thread::spawn(move || lines.for_each(drop));
         let stream = Rc::new(Async::<std::net::TcpStream>::connect(router.clients).await.unwrap());
@@ -58,7 +59,7 @@
         Self { router, clock, client, _coordinator: coordinator, _directory: directory }
     }
 
-    /// The client sends so many more.
+    /// Waits until the client has sent this number of further requests.
     async fn more(&self, requests: i32) {
         let last = self.client.last.get() + requests;
         while self.client.last.get() < last {
@@ -67,7 +68,7 @@
     }
 }
 
-/// Runs a case under each step, beside each other.
+/// Runs a case for each step, all in parallel.
 fn under_each_step(case: fn(i64)) {
     let cases = STEPS.map(|step| std::thread::spawn(move || case(step)));
     for (step, done) in STEPS.into_iter().zip(cases) {
@@ -75,11 +76,12 @@
     }
 }
 
-/// Requests to a cache that hangs get their final answer in time.
+/// Guards against deadlines measured by the wall clock: requests to a cache that hangs must get their final answer in time
+/// across a step.
 #[test]
 fn requests_are_answered_in_time_across_a_step_of_the_wall_clock() {
     const BUDGET: Duration = Duration::from_millis(900);
-    /// An answer after its time earns nothing; one that comes later than this is lost.
+    /// A late answer earns nothing; one that is later than this counts as lost.
     const LOST: Duration = Duration::from_millis(500);
     under_each_step(|step| {
         run(async |tasks| {
@@ -97,7 +99,8 @@
     });
 }
 
-/// What a cache answers within the client's time is served.
+/// Guards against requests that time out early because the wall clock was stepped: an answer that a cache gives within the
+/// client's time must be served.
 #[test]
 fn answers_are_served_across_a_step_of_the_wall_clock() {
     under_each_step(|step| {
@@ -115,11 +118,11 @@
     });
 }
 
-/// A drain and an end count real time.
+/// Guards against a drain or a shutdown measured by the wall clock: a step must not make either of them longer.
 #[test]
-fn a_drain_and_an_end_take_no_longer_across_a_step_of_the_wall_clock() {
+fn a_drain_and_a_shutdown_take_no_longer_across_a_step_of_the_wall_clock() {
     const TERM: Duration = Duration::from_secs(4);
-    /// The longest deadline, counted as 3 s, and 0.7 s.
+    /// The longest deadline, counted as 3 s, plus the 0.7 s for which clients may still come after SIGTERM.
     const KILL: Duration = Duration::from_millis(3700);
     under_each_step(|step| {
         run(async |tasks| {
@@ -144,12 +147,13 @@
     });
 }
 
-/// A router that starts while its wall clock is wrong, before a cache that the test answers for; the coordinator's connection.
+/// Starts a router whose wall clock is wrong by `offset`, with a cache whose answers the test writes. Also returns the
+/// client and the coordinator's connection.
 async fn start_wrong(tasks: &Tasks, offset: i64) -> (Router, Cache, Client, Stream, tempfile::TempDir) {
     let (listener, nowhere) = listen();
     let cache = Cache::start(tasks);
     let mut file = configuration(&[entry(1, "box", cache.address), entry(99, "origin", nowhere)], nowhere);
-    // A copy of the router's own comes at once.
+    // The rate limits are high enough for an own copy to be delivered at once.
     (file["flow_bytes_per_s"], file["link_bytes_per_s"]) = (1_000_000_000.into(), 1_000_000_000.into());
     file["settings"]["family_info"]["fresh_for_ms"] = serde_json::json!([FRESH_MS, 0]);
     let directory = tempfile::tempdir().unwrap();
@@ -163,9 +167,10 @@
     (router, cache, client, Rc::new(coordinator), directory)
 }
 
+/// Time for which a copy stays fresh, in milliseconds.
 const FRESH_MS: u64 = 1000;
 
-/// Asks for the object of the usual page, as the request of this number.
+/// Requests the object of [`page`] with this sequence number.
 async fn ask(client: &Client, seq: i32) {
     let rid = format!("{seq:016x}");
     let mut fields: Vec<(&str, &str)> = page("");
@@ -173,6 +178,7 @@
     client.send(&serve(seq, &fields, b"")).await;
 }
 
+/// Answers the cache's next command with a hit whose copy was made now; returns the command.
 async fn hit(cache: &Cache) -> common::Command {
     let (want, line) = cache.next().await;
     let stamp = silverspindle::clock::Stamp::now().as_micros() / 1000;
@@ -181,7 +187,7 @@
     want
 }
 
-/// A wall clock that was behind at the start makes no copy younger than it is.
+/// Guards against a wall clock that was behind at the start and makes copies look younger than they are.
 #[test]
 fn a_copy_is_not_served_past_its_time_by_a_router_that_started_behind() {
     for offset in [-5 * SECOND, -3600 * SECOND] {
@@ -200,16 +206,17 @@
     }
 }
 
-/// A wall clock that was ahead at the start makes no purge long past: caches are asked for younger copies.
+/// Guards against a wall clock that was ahead at the start and makes a purge look long past: caches must still be asked for
+/// copies newer than the purge.
 #[test]
-fn a_purge_is_heeded_by_a_router_that_started_ahead() {
+fn a_purge_is_applied_by_a_router_that_started_ahead() {
     run(async |tasks| {
         let (mut router, cache, client, coordinator, _directory) = start_wrong(tasks, 3600 * SECOND).await;
         let now = silverspindle::clock::Stamp::now().as_micros() / 1000;
         let mut purge = 0x7f3a_9c21_e0b4_d655_u64.to_be_bytes().to_vec();
         purge.extend(now.to_be_bytes());
         (&*coordinator).write_all(&event(2, 3, &purge)).await.unwrap();
-        // News are taken in order: where the list behind it is in, the purge is.
+        // Events are applied in order: once the list that follows the purge is applied, so is the purge.
         (&*coordinator).write_all(&event(3, 2, &record(1, 0, cache.address))).await.unwrap();
         assert!(router.lines.any(|line| line.contains("list: 1 entries")));
         ask(&client, 1).await;
--- a/silverspindle/tests/config.rs
+++ b/silverspindle/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: defaults, what goes before what, and messages that name the key.
+//! Tests of the configuration: defaults, precedence of the environment, and messages that name the key.
 
 mod common;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_whole_file_is_read() {
+fn a_complete_file_is_read() {
     let config = config(&file()).unwrap();
     assert_eq!((config.sockets, config.memory, config.seed), (1024, 192_000_000, 7));
     assert_eq!((config.known.0, config.known.1.len()), (3, 3));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_absent_has_a_default_and_the_environment_goes_first() {
+fn absent_keys_have_defaults_and_the_environment_overrides_the_file() {
     let mut file = file();
     file.as_object_mut().unwrap().remove("limits");
     file.as_object_mut().unwrap().remove("known");
@@ -37,10 +37,10 @@
     assert_eq!((c.streams_per_conn, c.idle_close, c.settings.connect_timeout), (32, 30_000_000, 400_000));
 }
 
-/// Guards against a router that can't start on the operators' days with less room: the limits are halved, to
-/// 24 MB and 192 descriptors, and the management address is read, the environment first.
+/// Guards against a router that can't start on the operators' days with halved limits, 24 MB and 192 descriptors. Also
+/// checks the management address, for which the environment overrides the file.
 #[test]
-fn halved_limits_and_the_management_address_are_taken() {
+fn halved_limits_and_the_management_address_are_accepted() {
     let mut file = file();
     file["limits"] = json!({"cores": 1.0, "memory_mb": 24, "sockets": 192});
     file["management"] = json!("127.0.0.1:9600");
@@ -58,7 +58,7 @@
     );
 }
 
-/// Guards against messages that leave the operator to search: each fault names the key it is in.
+/// Guards against messages that leave the operator searching: each fault names its key.
 #[test]
 fn each_fault_names_its_key() {
     for (pointer, value, key) in [
@@ -92,10 +92,10 @@
     }
 }
 
-/// Settings that are not understood have a safe reading, which is told; where none is safe the start is refused; all
-/// of it in one go.
+/// A setting of a wrong type falls back to a safe default, which is reported as a note. Where no default is safe, the start
+/// is refused. All faults are reported at once.
 #[test]
-fn what_is_not_understood_is_told_with_its_safe_reading() {
+fn settings_of_a_wrong_type_are_reported_with_their_safe_default() {
     let mut odd = file();
     odd["settings"]["limits"]["second_copies"] = json!("perhaps");
     odd["settings"]["family_info"]["heed_within_ms"] = json!([500]);
@@ -111,7 +111,7 @@
         "settings.classes[0].idempotency",
     ];
     assert_eq!(keys, told);
-    assert!(config(&file()).unwrap().notes.is_empty(), "a good file has none");
+    assert!(config(&file()).unwrap().notes.is_empty(), "a valid file has no notes");
     odd["settings"]["rules"]["tip_after_ms"] = json!("soon");
     odd["settings"]["family_info"]["cleared_within_ms"] = json!(true);
     odd["seed"] = json!(7);
@@ -124,9 +124,10 @@
     );
 }
 
-/// Guards disk and processor against lines that bad clients cause: some go out each second, the rest is counted.
+/// Guards against misbehaving clients that fill the disk or use up the processor with log lines: the lines per second are
+/// limited, and the suppressed ones are counted.
 #[test]
-fn some_lines_a_second_go_out_and_the_rest_is_counted() {
+fn log_lines_per_second_are_limited_and_suppressed_ones_counted() {
     let mut sieve = silverspindle::logging::Sieve::default();
     let passed = (0..1000).filter(|i| sieve.passes(5_000_000 + i).is_some()).count();
     assert_eq!(passed, 20);
--- a/silverspindle/tests/known_red.rs
+++ b/silverspindle/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The list of tests that CI passes over: short, and each line whole.
+//! Tests of `.ci/known-red`, which reads the list of tests that CI skips: a short list of complete lines.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn exactly_the_tests_named_are_passed_over_and_printed() {
+fn exactly_the_listed_tests_are_skipped_and_printed() {
     let out = read("one::case, the clock jumps, #7\n\nother_case, a race in the kernel, seen twice, #8\n");
     assert!(out.status.success());
     assert_eq!(out.stdout, b"--skip\none::case\n--skip\nother_case\n");
@@ -20,9 +20,9 @@
     assert!(read("").status.success());
 }
 
-/// With nothing known red there is no list: nothing is passed over.
+/// Without known failures there is no list, and nothing is skipped.
 #[test]
-fn an_absent_list_passes_nothing_over() {
+fn without_a_list_nothing_is_skipped() {
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../.ci/known-red");
     let directory = tempfile::tempdir().unwrap();
     let out = Command::new(script).arg(directory.path().join("KNOWN-RED.txt")).output().unwrap();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn more_than_three_lines_or_half_a_line_fail() {
+fn more_than_three_lines_or_an_incomplete_line_fail() {
     let line = |n: u32| format!("case_{n}, a cause, #{n}\n");
     assert!(read(&(1..=3).map(line).collect::<String>()).status.success());
     assert!(!read(&(1..=4).map(line).collect::<String>()).status.success());
--- a/silverspindle/tests/management.rs
+++ b/silverspindle/tests/management.rs
@@ -1,5 +1,5 @@
-//! The second address on a running router: ready, drain and resume, stalled callers, an upgrade beside an
-//! older process on the same clients' address, and what the fleet's platform forbids.
+//! Tests of the management address on a running router: ready, drain and resume, stalled callers, an upgrade on the clients'
+//! address of an older process, and the restrictions of the fleet's platform.
 
 mod common;
 
@@ -9,15 +9,15 @@
 
 use common::process::{AT_MOST, call, end, put, ready, start, start_in};
 
-/// Guards against a drain that never lets clients go, a resume that does not bring them back, and callers
-/// who never finish holding up the others.
+/// Guards against a drain that never closes idle connections, a resume after which no clients are accepted, and callers
+/// that never finish and delay the others.
 #[test]
-fn drain_closes_idle_clients_and_resume_takes_them_again() {
+fn drain_closes_idle_clients_and_resume_accepts_them_again() {
     let (_coordinator, address) = common::listen();
     let file = common::configuration(&[common::entry(1, "box", address)], address);
     let r = start(&file, "127.0.0.1:0");
     assert_eq!(ready(&r), 200);
-    // Stallers: more than the slots, each with half a call.
+    // More stalled callers than there are slots, each with half a call.
     let stalled: Vec<TcpStream> = (0..12)
         .map(|_| {
             let mut s = TcpStream::connect(r.management).unwrap();
@@ -25,7 +25,7 @@
             s
         })
         .collect();
-    assert_eq!(ready(&r), 200, "stalled callers keep nobody waiting");
+    assert_eq!(ready(&r), 200, "stalled callers delay nobody");
     assert_eq!(call(r.management, "GET /nothing HTTP/1.1\r\n\r\n"), 404);
     assert_eq!(call(r.management, "DELETE /-/drain HTTP/1.1\r\n\r\n"), 405);
     assert_eq!(call(r.management, "\x01\x02 junk\r\n\r\n"), 400);
@@ -33,7 +33,7 @@
     client.set_read_timeout(Some(AT_MOST)).unwrap();
     assert_eq!(put(&r, "/-/drain"), 200);
     assert_eq!(ready(&r), 503);
-    // The idle client is let go: the router closes, it does not reset.
+    // The idle client's connection is closed, not reset.
     assert_eq!(client.read(&mut [0u8; 16]).unwrap(), 0);
     assert_eq!(put(&r, "/-/resume"), 200);
     assert_eq!(ready(&r), 200);
@@ -45,9 +45,9 @@
     end(r);
 }
 
-/// Guards against an upgrade that can't start: a second process takes the same clients' address while the
-/// first serves, says ready, and the first ends by itself on SIGTERM. Checks on the way what the fleet's
-/// platform forbids: no Unix socket is held and no other program is started.
+/// Guards against an upgrade that can't start: a second process binds the same clients' address while the first one
+/// serves and reports ready, and the first one exits by itself on SIGTERM. Also checks the restrictions of the fleet's
+/// platform: no Unix socket is open and no other program is started.
 #[test]
 fn an_upgrade_shares_the_clients_address() {
     let (_coordinator, address) = common::listen();
@@ -65,7 +65,7 @@
         for fd in std::fs::read_dir(format!("/proc/{id}/fd")).unwrap() {
             let link = std::fs::read_link(fd.unwrap().path()).unwrap().display().to_string();
             if let Some(inode) = link.strip_prefix("socket:[").and_then(|l| l.strip_suffix(']')) {
-                assert!(!inodes.contains(&inode), "a Unix socket is held: {link}");
+                assert!(!inodes.contains(&inode), "a Unix socket is open: {link}");
             }
         }
         for task in std::fs::read_dir(format!("/proc/{id}/task")).unwrap() {
@@ -74,14 +74,20 @@
         }
     }
     let (mut old, mut new) = (old, new);
-    assert!(new.lines.any(|l| l.contains("both keep to one limit")), "the new one knows the old one");
+    assert!(new.lines.any(|l| l.contains("both keep to one limit")), "the new process has found the old one");
     assert!(Command::new("kill").arg(old.child.id().to_string()).status().unwrap().success());
-    assert!(old.lines.any(|l| l.contains("a younger process serves on")), "the old one knows its successor");
+    assert!(
+        old.lines.any(|l| l.contains("a younger process serves on")),
+        "the old process has found its successor"
+    );
     assert!(old.lines.any(|l| l.contains("no more connections taken")));
     assert!(old.lines.any(|l| l.contains("ended: all is answered")));
     assert!(old.child.wait().unwrap().success());
-    assert!(new.lines.any(|l| l.contains("the limits are this one's")), "it has them to itself now");
-    assert_eq!(ready(&new), 200, "the new one serves on");
+    assert!(
+        new.lines.any(|l| l.contains("the limits are this one's")),
+        "the new process has the limits to itself again"
+    );
+    assert_eq!(ready(&new), 200, "the new process keeps serving");
     TcpStream::connect(new.clients).unwrap();
     end(new);
     let left: Vec<_> = std::fs::read_dir(&directory).unwrap().collect();
--- a/silverspindle/tests/restarts.rs
+++ b/silverspindle/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Thirty processes killed together under traffic and started again on their addresses.
+//! Kills thirty processes together under traffic and starts them again on their addresses.
 
 mod common;
 
@@ -9,10 +9,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+/// Number of router processes.
 const PROCESSES: usize = 30;
-/// The operators ask for nine in ten within 10 s; the verdict must not hang on a busy machine's speed.
+/// Maximum time until nine in ten processes are ready. The operators require 10 s; the test allows more, so that its result
+/// doesn't depend on the speed of a busy machine.
 const AT_MOST: Duration = Duration::from_secs(60);
 
+/// Starts a router process; returns it with its address once it serves.
 fn start(file: &serde_json::Value, listen: &str) -> (Child, SocketAddr) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_silverspindle"))
         .arg("serve")
@@ -27,12 +30,13 @@
     child.stdin.take().unwrap().write_all(file.to_string().as_bytes()).unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
     let line = lines.find(|l| l.contains(" serves on ")).unwrap();
-    // Read on, so that no log line meets a closed pipe.
+    // Keep reading, so that the process never writes to a closed pipe.
     std::thread::spawn(move || lines.for_each(drop));
     let rest = line.split_once("serves on ").unwrap().1;
     (child, rest.split(' ').next().unwrap().parse().unwrap())
 }
 
+/// Whether the router at this address answers `isWell` with true.
 fn well(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, Duration::from_millis(500)) else {
         return false;
@@ -45,8 +49,8 @@
         && answer == good
 }
 
-/// Guards against a start that takes long where many start at once, or while clients come in a crowd: each is ready once
-/// it can serve, on the address that the killed one had.
+/// Guards against a slow start when many processes start at once or while many clients connect. Each process must become
+/// ready on the address of the killed one.
 #[test]
 fn thirty_processes_killed_under_traffic_are_ready_again() {
     let (_listener, nowhere) = common::listen();
@@ -54,7 +58,7 @@
     let file = common::configuration(&members, nowhere);
     let first: Vec<_> = (0..PROCESSES).map(|_| start(&file, &format!("{}:0", common::ip()))).collect();
     let addresses: Vec<SocketAddr> = first.iter().map(|(_, address)| *address).collect();
-    // Clients that come again and again, whatever they get.
+    // Clients that keep reconnecting, whatever answer they get.
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..4)
         .map(|n| {
--- a/silverspindle/tests/router.rs
+++ b/silverspindle/tests/router.rs
@@ -1,4 +1,4 @@
-//! A whole router between scripted clients, caches and a coordinator on loopback sockets.
+//! Tests of a complete router between scripted clients, caches and a coordinator on loopback sockets.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const THIRD: &str = "00000000000000a3";
 
 #[test]
-fn a_request_passes_unchanged_and_so_does_its_answer() {
+fn a_request_and_its_answer_are_forwarded_unchanged() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -39,7 +39,7 @@
         reply(&line, &[RID, "HIT", NAMED, &body]).await;
         assert_eq!(client.next().await.unwrap(), served(2, body.as_bytes()));
 
-        // The client's copy is the one: an empty body, and `keep`.
+        // The client's own copy is still valid: the answer has an empty body and `keep`.
         (fields[1].1, fields[4].1) = (OTHER, "4");
         client.send(&serve(3, &fields, b"")).await;
         let (_, line) = cache.next().await;
@@ -68,13 +68,13 @@
 }
 
 #[test]
-fn answers_come_in_any_order() {
+fn answers_are_forwarded_in_any_order() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
         let client = Client::connect(tasks, router.address).await;
         client.send(&[serve(1, &page(RID), b""), serve(2, &page(OTHER), b"")].concat()).await;
-        // They go by connections of their own, which a cache reads in any order.
+        // Each request has a connection of its own, and the cache may read those in any order.
         let mut read = [cache.next().await, cache.next().await];
         read.sort_by(|a, b| b.0[1].cmp(&a.0[1]));
         let [(first, line), (second, other)] = read;
@@ -86,7 +86,7 @@
     });
 }
 
-/// Guards against sending what can't be used: the run is void if such a request reaches a cache.
+/// Guards against forwarding a request with an invalid field: if one reaches a cache, the operators' run is void.
 #[test]
 fn a_bad_field_fails_without_an_attempt() {
     run(async |tasks| {
@@ -125,9 +125,9 @@
     });
 }
 
-/// Guards against one broken client hurting others: its connection alone is closed.
+/// Guards against a broken client that affects others: only its own connection is closed.
 #[test]
-fn what_is_malformed_closes_its_connection_alone() {
+fn a_malformed_message_closes_only_its_connection() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -146,9 +146,9 @@
     });
 }
 
-/// Guards against an answer after `forget`: none is owed, and a second one would lose the request.
+/// Guards against an answer after `forget`: the client expects none, and a second answer counts as a lost request.
 #[test]
-fn nothing_comes_for_what_was_forgotten() {
+fn a_forgotten_request_gets_no_answer() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -156,7 +156,7 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, line) = cache.next().await;
         client.send(&forget(1)).await;
-        // Answered behind it, so that the director has read it before the cache answers.
+        // The answer to this call follows the `forget`, so the director has read that before the cache answers.
         assert!(client.well(2).await);
         assert_eq!(cache.next().await.0, ["never_mind", RID]);
         reply(&line, &[RID, "HIT", NAMED, "late"]).await;
@@ -168,9 +168,9 @@
     });
 }
 
-/// Guards against a router that spins on a client's close while a request of it is open, and serves nobody.
+/// Guards against a router that spins on a client's close while a request of that client is open, and serves nobody else.
 #[test]
-fn a_client_that_leaves_hurts_nobody() {
+fn a_client_that_leaves_does_not_affect_others() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -189,14 +189,14 @@
     });
 }
 
-/// Guards against a cache that answers nonsense, and one that drops its connection: what was out may have
-/// run, so a safe request is asked of another cache.
+/// Guards against a cache that sends malformed answers or drops its connection. The attempt may have run, so only a
+/// request that is safe to repeat is sent to another cache.
 #[test]
-fn nonsense_and_a_reset_end_attempts_and_others_answer() {
+fn after_a_malformed_answer_or_a_reset_another_cache_answers() {
     for nonsense in [
         Some("*1\r\n$3\r\nwat\r\n"),
         Some("*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$5\r\nVALID\r\n$1\r\n-\r\n$0\r\n\r\n"),
-        // No tag and no time; too short for its bytes; cut off, with the connection left open; 3 GB.
+        // No tag and no time; a length shorter than the body; a body cut off on an open connection; a body of 3 GB.
         Some("*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\nHIT\r\n$8\r\nwhy=warm\r\n$1\r\nx\r\n"),
         Some("*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\nHIT\r\n$18\r\nversion=aa,stamp=1\r\n$1\r\nxy\r\n"),
         Some("*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\nHIT\r\n$18\r\nversion=aa,stamp=1\r\n$9\r\nxy"),
@@ -208,7 +208,7 @@
             let (router, _coordinator) = router(tasks, &[one.address, two.address]);
             let client = Client::connect(tasks, router.address).await;
             let mut patient = page(RID);
-            // The first attempt is far from overdue when its answer stalls.
+            // With this size the first attempt is far from overdue when its answer stalls.
             patient.retain(|(name, _)| *name != "mem");
             patient.push(("mem", "50000"));
             client.send(&serve(1, &patient, b"")).await;
@@ -230,13 +230,13 @@
 fn a_refused_connection_is_answered_by_another_cache() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
-        // An address that no other test listens on, so that the port stays free.
+        // No other test listens on this address, so the port stays unused.
         let dead = std::net::TcpListener::bind("127.0.0.77:0").unwrap();
         let address = dead.local_addr().unwrap();
         drop(dead);
         let (router, _coordinator) = router(tasks, &[cache.address, address]);
         let client = Client::connect(tasks, router.address).await;
-        // Parts of many objects: some belong to the dead cache by their hash.
+        // Parts of many objects, as some of them hash to the dead cache.
         for seq in 1..=8 {
             let object = format!("{seq:016x}");
             let mut fields: Vec<(&str, &str)> = page(RID);
@@ -249,10 +249,10 @@
     });
 }
 
-/// Guards against requests that get no answer: a silent cache is timed out at the deadline, told so, and the
-/// client refused with advice.
+/// Guards against requests without an answer: an attempt at a silent cache times out at the deadline, the cache gets a
+/// cancellation, and the client a refusal with retry advice.
 #[test]
-fn a_silent_cache_is_given_up_at_the_deadline() {
+fn an_attempt_at_a_silent_cache_ends_at_the_deadline() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -263,15 +263,15 @@
         let (want, _line) = cache.next().await;
         assert_eq!(want[0], "want");
         assert!(advice(&client.next().await.unwrap(), 1).is_some_and(|ms| ms > 0));
-        // A second copy may have come in between.
+        // A second copy of the request may arrive first.
         while cache.next().await.0 != ["never_mind", RID] {}
     });
 }
 
-/// Guards against sends to a cache that drains, and against missing news after a break: the feed is followed
-/// anew from the last event, and what comes twice is taken once.
+/// Guards against attempts at a cache that drains, and against events missed after a lost connection: the feed is resumed
+/// from the last event, and an event that arrives twice is applied once.
 #[test]
-fn the_list_is_followed_through_a_break() {
+fn the_list_is_followed_across_a_lost_connection() {
     run(async |tasks| {
         let (one, two) = (Cache::start(tasks), Cache::start(tasks));
         let (router, coordinator) = router(tasks, &[one.address, two.address]);
@@ -284,15 +284,15 @@
         feed.read_exact(&mut last).await.unwrap();
         assert_eq!(u64::from_be_bytes(last), 1);
         feed.write_all(&drain).await.unwrap();
-        // Nonsense ends the connection, as a close does.
+        // A malformed frame ends the connection, as a close does.
         feed.write_all(&[0, 0, 0, 1, 9]).await.unwrap();
         let mut feed = coordinator.accept().await.unwrap().0;
         feed.read_exact(&mut last).await.unwrap();
         assert_eq!(u64::from_be_bytes(last), 2);
-        // An old event says that the first cache is ready; only the new one, which drains the second, holds.
+        // The old event, by which the first cache is ready, must be ignored; the new one drains the second cache.
         feed.write_all(&frame(1, &record(1, 0, &one))).await.unwrap();
         feed.write_all(&frame(3, &record(2, 1, &two))).await.unwrap();
-        // With no cache left all is refused, once that is known.
+        // With no cache left every request is refused, once the router has applied the event.
         for seq in 1.. {
             let rid = format!("{seq:016x}");
             let mut fields: Vec<(&str, &str)> = page(RID);
@@ -312,9 +312,9 @@
     });
 }
 
-/// Guards against a coordinator that is cut off: its connection stays open, but the empty frames cease.
+/// Guards against a coordinator that is cut off: its connection stays open, but no more empty frames (heartbeats) arrive.
 #[test]
-fn a_silent_coordinator_is_connected_anew() {
+fn the_router_reconnects_to_a_silent_coordinator() {
     run(async |tasks| {
         let (_router, coordinator) = router(tasks, &[]);
         let _silent = coordinator.accept().await.unwrap();
@@ -322,10 +322,10 @@
     });
 }
 
-/// Guards against losing what comes around a planned restart: it says that it is not well, serves on, and
-/// ends only when all is answered.
+/// Guards against requests lost around a planned restart: a router that shuts down reports that it is not well, keeps
+/// serving, and ends only once every request is answered.
 #[test]
-fn an_end_waits_for_what_is_open_and_still_comes() {
+fn a_shutdown_waits_for_open_and_late_requests() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -347,8 +347,7 @@
     });
 }
 
-/// Guards against clients that hold connections and use them no more: they keep nobody out, but those with
-/// an open request stay.
+/// Guards against clients that hold unused connections and keep others out. Connections with an open request stay.
 #[test]
 fn unused_connections_make_room_for_waiting_clients() {
     run(async |tasks| {
@@ -363,15 +362,15 @@
             assert!(client.well(1).await);
             held.push(client);
         }
-        assert_eq!(held[0].next().await, None, "the longest unused is closed");
+        assert_eq!(held[0].next().await, None, "the connection unused for longest is closed");
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(busy.next().await.unwrap(), served(1, b"a"));
     });
 }
 
-/// Guards against connections that say nothing, or half of something: each is closed, however few there are.
+/// Guards against connections that send nothing or only part of a message: each is closed, even if only a few are open.
 #[test]
-fn silence_and_half_a_message_end_a_connection() {
+fn silent_connections_and_partial_messages_are_closed() {
     run(async |tasks| {
         let (router, _coordinator) = router(tasks, &[]);
         let silent = Client::connect(tasks, router.address).await;
@@ -386,10 +385,10 @@
     });
 }
 
-/// Guards against answers that can't be told apart and floods of one request: an id that came before fails
-/// unsent, by whatever connection; a number that does not count up closes its connection.
+/// Guards against answers that can't be told apart and against floods of one request. A request whose id was used before,
+/// on any connection, fails without an attempt; a sequence number that doesn't increase closes its connection.
 #[test]
-fn an_id_comes_once_and_numbers_count_up() {
+fn request_ids_are_unique_and_sequence_numbers_increase() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -409,7 +408,8 @@
     });
 }
 
-/// Guards against asking a cache again for what the router holds, and against serving it once it is purged.
+/// Guards against asking a cache for an object of which the router holds a copy, and against serving that copy after a
+/// purge.
 #[test]
 fn an_own_copy_is_served_until_it_is_purged() {
     run(async |tasks| {
@@ -448,11 +448,11 @@
     });
 }
 
-/// Guards against an ending router that takes what SIGKILL would find unanswered: on a connection kept busy, a
-/// request that comes after the linger and is due later than the kill is refused at once with advice and sent to
-/// no cache; one due before the kill is still served, and what was taken before is answered.
+/// Guards against a router that shuts down and accepts requests that SIGKILL would leave unanswered. On a busy connection, a
+/// request that arrives after `LINGER` and is due after the kill is refused at once with advice and sent to no cache. One
+/// that is due before the kill is still served, and requests accepted earlier are answered.
 #[test]
-fn an_ending_router_refuses_what_it_could_not_answer_before_the_kill() {
+fn a_router_that_shuts_down_refuses_requests_due_after_the_kill() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
@@ -460,7 +460,7 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, first) = cache.next().await;
         let talk = async {
-            // The linger is waited for: what comes within it is taken whatever its deadline.
+            // Wait for the end of `LINGER`, as requests within it are accepted whatever their deadline.
             silverspindle::clock::at(silverspindle::clock::now() + silverspindle::drain::LINGER).await;
             client.send(&serve(2, &page(OTHER), b"")).await;
             let answer = client.next().await.unwrap();
@@ -469,14 +469,14 @@
             short.retain(|(name, _)| *name != "budget");
             short.push(("budget", "1000"));
             client.send(&serve(3, &short, b"")).await;
-            // Second copies of the first may come between; the refused one never does.
+            // Second copies of the first request may arrive in between; the refused one never does.
             let (want, line) = loop {
                 let (want, line) = cache.next().await;
                 if want[1] != RID {
                     break (want, line);
                 }
             };
-            assert_eq!(want[1], THIRD, "nothing was sent for the refused one");
+            assert_eq!(want[1], THIRD, "no attempt was made for the refused request");
             reply(&line, &[THIRD, "HIT", NAMED, "c"]).await;
             assert_eq!(client.next().await.unwrap(), served(3, b"c"));
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
