--- a/silverspindle/benches/passing.rs
+++ b/silverspindle/benches/passing.rs
@@ -1,6 +1,6 @@
-//! Throughput of one router process between stand-ins on loopback: bytes per second passed on, and processor time per
-//! byte. Prints one JSON object per line, each with the median of several runs. Run with
-//! `cargo bench -p silverspindle --bench passing`.
+//! Throughput of one router process between stand-ins on loopback: bytes per second passed on, and processor
+//! time per byte. Prints one JSON object per line, each with the median of several runs. Run with `cargo
+//! bench -p silverspindle --bench passing`.
 #![allow(missing_docs)]
 
 use std::io;
@@ -24,8 +24,8 @@
     figures[figures.len() / 2]
 }
 
-fn print(what: &str, body: usize, value: f64, unit: &str) {
-    println!("{}", json!({"what": what, "n": body, "value": value, "unit": unit, "fit": null}));
+fn print(metric: &str, body: usize, value: f64, unit: &str) {
+    println!("{}", json!({"what": metric, "n": body, "value": value, "unit": unit, "fit": null}));
 }
 
 fn main() -> io::Result<()> {
--- a/silverspindle/src/config.rs
+++ b/silverspindle/src/config.rs
@@ -1,4 +1,5 @@
-//! Reads the configuration, checks it and fills in defaults; no other module does. Each message names the faulty key.
+//! Reads the configuration, checks it and fills in defaults; no other module does. Each message names the
+//! faulty key.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,14 +12,14 @@
 use crate::feed;
 
 /// Default of `limits.sockets`.
-const SOCKETS: u64 = 1024;
+const DEFAULT_SOCKETS: u64 = 1024;
 /// Smallest value of `limits.sockets` that is accepted.
-const LEAST_SOCKETS: u64 = 64;
+const MIN_SOCKETS: u64 = 64;
 /// Default of `limits.memory_mb`, in megabytes.
-const MEMORY_MB: f64 = 192.0;
-/// Smallest value of `limits.memory_mb` that is accepted, in megabytes: the protocol's rules allow limits down to 32 MB,
-/// and on the operators' days the limits are halved.
-const LEAST_MEMORY_MB: f64 = 16.0;
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+/// Smallest value of `limits.memory_mb` that is accepted, in megabytes: the protocol's rules allow limits
+/// down to 32 MB, and on the operators' days the limits are halved.
+const MIN_MEMORY_MB: f64 = 16.0;
 
 /// Looks up an environment variable by its name.
 pub type Environment<'a> = &'a dyn Fn(&str) -> Option<String>;
@@ -30,7 +31,8 @@
     pub name: String,
     /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Address of the management calls (ready, drain, resume) for operators and the platform; none for no such listener.
+    /// Address of the management calls (ready, drain, resume) for operators and the platform; none for no
+    /// such listener.
     pub management: Option<SocketAddr>,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
@@ -41,9 +43,10 @@
     /// Memory limit in bytes.
     pub memory: usize,
     /// Rate limit of one transfer of an own copy, in bytes per second; 0 if the router serves no own copies.
-    pub flow: f64,
-    /// Rate limit of all transfers of own copies together, in bytes per second; 0 if the router serves no own copies.
-    pub link: f64,
+    pub flow_bytes_per_s: f64,
+    /// Rate limit of all transfers of own copies together, in bytes per second; 0 if the router serves no own
+    /// copies.
+    pub link_bytes_per_s: f64,
     /// The settings of the site.
     pub catalogue: Catalogue,
     /// The events of the key `known`, preceded by the number of the last one.
@@ -71,12 +74,12 @@
 }
 
 /// Reads a number under `limits`.
-fn limit(file: &Value, name: &str, default: f64, least: f64) -> Result<f64, String> {
+fn limit(file: &Value, name: &str, default: f64, min: f64) -> Result<f64, String> {
     match &file["limits"][name] {
         Value::Null => Ok(default),
-        v => match v.as_f64().filter(|x| *x >= least) {
+        v => match v.as_f64().filter(|x| *x >= min) {
             Some(x) => Ok(x),
-            None => fault(&format!("limits.{name}"), &format!("must be a number of at least {least}")),
+            None => fault(&format!("limits.{name}"), &format!("must be a number of at least {min}")),
         },
     }
 }
@@ -92,14 +95,15 @@
     }
 }
 
-/// Reads the operators' file; without a path, returns the default, with everything that the file enables off. Each fault
-/// is a line `FILE:LINE: KEY: PROBLEM`.
+/// Reads the operators' file; without a path, returns the default, with everything that the file enables off.
+/// Each fault is a line `FILE:LINE: KEY: PROBLEM`.
 pub fn read_conf(path: Option<&Path>) -> Result<Conf, Vec<String>> {
     let Some(path) = path else { return Ok(Conf::default()) };
     let name = path.display();
     let text =
         std::fs::read_to_string(path).map_err(|e| vec![format!("{name}:0: file: can't be read: {e}")])?;
-    silverspindle_conf::read(&text).map_err(|all| all.iter().map(|fault| format!("{name}:{fault}")).collect())
+    silverspindle_conf::read(&text)
+        .map_err(|faults| faults.iter().map(|fault| format!("{name}:{fault}")).collect())
 }
 
 impl Config {
@@ -110,16 +114,16 @@
 
     /// Like [`Config::read`], but returns all faults.
     pub fn read_all(environment: Environment) -> Result<Self, Vec<String>> {
-        let one = |e: Result<Self, String>| e.map_err(|e| vec![e]);
-        let Some(path) = environment("LB_CONFIG") else { return one(fault("LB_CONFIG", "is not set")) };
+        let single = |result: Result<Self, String>| result.map_err(|fault| vec![fault]);
+        let Some(path) = environment("LB_CONFIG") else { return single(fault("LB_CONFIG", "is not set")) };
         match std::fs::read_to_string(&path) {
             Ok(text) => Self::parse_all(&text, environment),
-            Err(e) => one(fault("LB_CONFIG", &format!("can't read {path}: {e}"))),
+            Err(e) => single(fault("LB_CONFIG", &format!("can't read {path}: {e}"))),
         }
     }
 
-    /// Parses the file's text; environment variables such as `LB_NAME` and `LB_LISTEN` override its values. Returns only the
-    /// first fault.
+    /// Parses the file's text; environment variables such as `LB_NAME` and `LB_LISTEN` override its values.
+    /// Returns only the first fault.
     pub fn parse(text: &str, environment: Environment) -> Result<Self, String> {
         Self::parse_all(text, environment).map_err(|faults| faults.into_iter().next().unwrap_or_default())
     }
@@ -129,17 +133,17 @@
         let file: Value = serde_json::from_str(text)
             .or_else(|e| fault("LB_CONFIG", &format!("is not valid JSON: {e}")))
             .map_err(|e| vec![e])?;
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
+        let unset = SocketAddr::from(([0, 0, 0, 0], 0));
         let mut faults = Vec::new();
-        let all = &mut faults;
+        let collected = &mut faults;
         let name = environment("LB_NAME").or_else(|| file["name"].as_str().map(str::to_owned));
         let name = name.filter(|n| !n.is_empty()).map_or_else(|| fault("name", "is missing"), Ok);
-        let name = or(all, name, String::new());
+        let name = value_or(collected, name, String::new());
         let listen = match environment("LB_LISTEN") {
             Some(text) => address("LB_LISTEN", Some(&text)),
             None => address("listen", file["listen"].as_str()),
         };
-        let listen = or(all, listen, nowhere);
+        let listen = value_or(collected, listen, unset);
         let management = match environment("LB_MANAGEMENT") {
             Some(text) => address("LB_MANAGEMENT", Some(&text)).map(Some),
             None => match file["management"].as_str() {
@@ -148,33 +152,41 @@
                 None => fault("management", "must be a string: address and port"),
             },
         };
-        let management = or(all, management, None);
+        let management = value_or(collected, management, None);
         let seed = file["seed"].as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
         let seed = seed.map_or_else(|| fault("seed", "must be a string of up to 16 hex digits"), Ok);
-        let seed = or(all, seed, 0);
+        let seed = value_or(collected, seed, 0);
         let level = match environment("LB_LOG") {
             None => Ok(LevelFilter::INFO),
             Some(text) => {
                 text.parse().or_else(|_| fault("LB_LOG", "must be off, error, warn, info, debug or trace"))
             }
         };
-        let level = or(all, level, LevelFilter::INFO);
+        let level = value_or(collected, level, LevelFilter::INFO);
         let json_logs = match environment("LB_LOG_FORMAT").as_deref() {
             None | Some("text") => Ok(false),
             Some("json") => Ok(true),
             Some(_) => fault("LB_LOG_FORMAT", "must be text or json"),
         };
-        let json_logs = or(all, json_logs, false);
-        let coordinator = or(all, address("coordinator", file["coordinator"].as_str()), nowhere);
-        let sockets = or(all, limit(&file, "sockets", SOCKETS as f64, LEAST_SOCKETS as f64), SOCKETS as f64);
-        let memory = or(all, limit(&file, "memory_mb", MEMORY_MB, LEAST_MEMORY_MB), MEMORY_MB);
-        let flow = or(all, rate(&file, "flow_bytes_per_s"), 0.0);
-        let link = or(all, rate(&file, "link_bytes_per_s"), 0.0);
+        let json_logs = value_or(collected, json_logs, false);
+        let coordinator = value_or(collected, address("coordinator", file["coordinator"].as_str()), unset);
+        let sockets = value_or(
+            collected,
+            limit(&file, "sockets", DEFAULT_SOCKETS as f64, MIN_SOCKETS as f64),
+            DEFAULT_SOCKETS as f64,
+        );
+        let memory = value_or(
+            collected,
+            limit(&file, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB),
+            DEFAULT_MEMORY_MB,
+        );
+        let flow_bytes_per_s = value_or(collected, rate(&file, "flow_bytes_per_s"), 0.0);
+        let link_bytes_per_s = value_or(collected, rate(&file, "link_bytes_per_s"), 0.0);
         let Some(settings) = file["settings"].as_object() else {
-            all.extend(fault::<()>("settings", "must be an object").err());
+            collected.extend(fault::<()>("settings", "must be an object").err());
             return Err(faults);
         };
-        let (catalogue, notes) = site(settings, all);
+        let (catalogue, notes) = read_site(settings, collected);
         let known = match &file["known"] {
             Value::Null => Ok((0, Vec::new())),
             value => feed::known(value, &catalogue).or_else(|e| {
@@ -182,7 +194,7 @@
                 fault(key, problem)
             }),
         };
-        let known = or(all, known, (0, Vec::new()));
+        let known = value_or(collected, known, (0, Vec::new()));
         if !faults.is_empty() {
             return Err(faults);
         }
@@ -194,8 +206,8 @@
             coordinator,
             sockets: sockets as usize,
             memory: (memory * 1e6) as usize,
-            flow,
-            link,
+            flow_bytes_per_s,
+            link_bytes_per_s,
             catalogue,
             known,
             level,
@@ -206,16 +218,16 @@
 }
 
 /// Returns the value that was read; on a fault records it and returns the default.
-fn or<T>(faults: &mut Vec<String>, read: Result<T, String>, default: T) -> T {
+fn value_or<T>(faults: &mut Vec<String>, read: Result<T, String>, default: T) -> T {
     read.unwrap_or_else(|fault| {
         faults.push(fault);
         default
     })
 }
 
-/// Settings whose value is ignored if it has the wrong type, because their default is safe: section, key, expected type
-/// and the effect of the default.
-const SAFE: [(&str, &str, &str, &str); 12] = [
+/// Settings whose value is ignored if it has the wrong type, because their default is safe: section, key,
+/// expected type and the effect of the default.
+const WITH_SAFE_DEFAULT: [(&str, &str, &str, &str); 12] = [
     ("limits", "try_limit", "a number", "one attempt per request"),
     ("limits", "second_copies", "true or false", "no second copies"),
     ("limits", "cancelling", "true or false", "nothing is cancelled"),
@@ -234,68 +246,73 @@
     ),
     ("deductions", "handshake", "a number", "connections are not shared"),
 ];
-/// Settings without a safe default; a wrong type is a fault. Ignoring one would treat a cold member as warm, or a copy older
-/// than a purge as newer.
-const NEEDED: [(&str, &str); 4] = [
+/// Settings without a safe default; a wrong type is a fault. Ignoring one would treat a cold member as warm,
+/// or a copy older than a purge as newer.
+const WITHOUT_SAFE_DEFAULT: [(&str, &str); 4] = [
     ("rules", "cold_ms"),
     ("rules", "tip_after_ms"),
     ("family_info", "parent_ramp_ms"),
     ("family_info", "cleared_within_ms"),
 ];
 
-/// Reads the settings of a site. A value that would break a rule of the protocol is a fault; a value that has a safe
-/// default is reported as a note.
-fn site(settings: &serde_json::Map<String, Value>, faults: &mut Vec<String>) -> (Catalogue, Vec<String>) {
+/// Reads the settings of a site. A value that would break a rule of the protocol is a fault; a value that has
+/// a safe default is reported as a note.
+fn read_site(
+    settings: &serde_json::Map<String, Value>,
+    faults: &mut Vec<String>,
+) -> (Catalogue, Vec<String>) {
     let mut catalogue = Catalogue::read(settings);
-    let mut wrong =
+    let mut report =
         |key: &str, problem: &str| faults.extend(fault::<()>(&format!("settings.{key}"), problem).err());
     if catalogue.classes.is_empty() {
-        wrong("classes", "must list at least one class");
+        report("classes", "must list at least one class");
     }
     for (i, class) in catalogue.settings.classes.iter().enumerate() {
         if catalogue.classes[i].is_empty() {
-            wrong(&format!("classes[{i}].name"), "is missing");
+            report(&format!("classes[{i}].name"), "is missing");
         }
         if class.deadline == 0 {
-            wrong(&format!("classes[{i}].deadline_ms"), "must be greater than 0");
+            report(&format!("classes[{i}].deadline_ms"), "must be greater than 0");
         }
     }
     if catalogue.settings.zone == usize::MAX {
-        wrong("my_zone", "must be one of settings.failure_domains");
+        report("my_zone", "must be one of settings.failure_domains");
     }
     if catalogue.settings.origin_kind.is_none() {
-        wrong("family_info.root_kind", "must be an index into settings.kinds");
+        report("family_info.root_kind", "must be an index into settings.kinds");
     }
     let value =
         |part: &str, name: &str| settings.get(part).and_then(|p| p.get(name)).filter(|v| !v.is_null());
-    for (part, name) in NEEDED {
+    for (part, name) in WITHOUT_SAFE_DEFAULT {
         if value(part, name).is_some_and(|v| !v.is_number()) {
-            wrong(&format!("{part}.{name}"), "must be a number");
+            report(&format!("{part}.{name}"), "must be a number");
         }
     }
-    let other = |value: &Value, kind: &str| match kind {
+    let has_wrong_type = |value: &Value, kind: &str| match kind {
         "a number" => !value.is_number(),
         _ => !value.is_boolean(),
     };
-    let safe = SAFE.iter().filter(|(part, name, kind, _)| value(part, name).is_some_and(|v| other(v, kind)));
-    let mut notes: Vec<String> = safe
-        .map(|(part, name, kind, reading)| {
-            format!("settings.{part}.{name}: is not {kind}; taken as absent: {reading}")
+    let ignored = WITH_SAFE_DEFAULT
+        .iter()
+        .filter(|(part, name, kind, _)| value(part, name).is_some_and(|v| has_wrong_type(v, kind)));
+    let mut notes: Vec<String> = ignored
+        .map(|(part, name, kind, default)| {
+            format!("settings.{part}.{name}: is not {kind}; taken as absent: {default}")
         })
         .collect();
     for (i, class) in settings.get("classes").and_then(Value::as_array).into_iter().flatten().enumerate() {
-        let kind = &class["idempotency"];
-        if !["idempotent", "deduplicated", "at_most_once"].iter().any(|known| kind == known)
-            && !kind.is_null()
+        let idempotency = &class["idempotency"];
+        if !["idempotent", "deduplicated", "at_most_once"].iter().any(|known| idempotency == known)
+            && !idempotency.is_null()
         {
             notes.push(format!(
-                "settings.classes[{i}].idempotency: {kind} is not known; taken as at_most_once"
+                "settings.classes[{i}].idempotency: {idempotency} is not known; taken as at_most_once"
             ));
         }
     }
-    let or = |told: u64, default: u64| if told > 0 { told } else { default };
-    catalogue.settings.connect_timeout = or(catalogue.settings.connect_timeout, 400_000);
-    catalogue.idle_close = or(catalogue.idle_close, 30_000_000);
-    catalogue.streams_per_conn = or(catalogue.streams_per_conn as u64, 32) as usize;
+    let or_default = |configured: u64, default: u64| if configured > 0 { configured } else { default };
+    catalogue.settings.connect_timeout = or_default(catalogue.settings.connect_timeout, 400_000);
+    catalogue.idle_close = or_default(catalogue.idle_close, 30_000_000);
+    catalogue.streams_per_conn = or_default(catalogue.streams_per_conn as u64, 32) as usize;
     (catalogue, notes)
 }
--- a/silverspindle/src/counters.rs
+++ b/silverspindle/src/counters.rs
@@ -1,5 +1,6 @@
-//! Counters, by reason, of how client connections and requests ended. They are logged at the end of a drain and at the
-//! exit, so that an incident report shows why connections were closed and why requests were refused, retried or given up.
+//! Counters, by reason, of how client connections and requests ended. They are logged at the end of a drain
+//! and at the exit, so that an incident report shows why connections were closed and why requests were
+//! refused, retried or given up.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -65,8 +66,8 @@
     Agreed,
     /// The decision module found no further attempt to make.
     Exhausted,
-    /// The decision module refused the request, but its attempts don't prove that a refusal is safe, so it was answered
-    /// as failed.
+    /// The decision module refused the request, but its attempts don't prove that a refusal is safe, so it
+    /// was answered as failed.
     Unproven,
 }
 
@@ -88,7 +89,8 @@
     }
 }
 
-/// Reason why the router's own copy, offered to the decision module when the request arrived, could not answer it later.
+/// Reason why the router's own copy, offered to the decision module when the request arrived, could not
+/// answer it later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CopyLoss {
     /// The copy was purged.
@@ -122,35 +124,35 @@
     copies_lost: RefCell<BTreeMap<CopyLoss, u64>>,
 }
 
-fn count<K: Ord>(counts: &RefCell<BTreeMap<K, u64>>, key: K) {
+fn increment<K: Ord>(counts: &RefCell<BTreeMap<K, u64>>, key: K) {
     *counts.borrow_mut().entry(key).or_insert(0) += 1;
 }
 
 impl Counters {
     /// Counts a client connection that ended.
     pub fn closed(&self, reason: CloseReason) {
-        count(&self.closes, reason);
+        increment(&self.closes, reason);
     }
 
     /// Counts a request that was refused or given up.
     pub fn refused(&self, reason: RefusalReason) {
-        count(&self.refusals, reason);
+        increment(&self.refusals, reason);
     }
 
-    /// Counts a further attempt for a request. `after` is the status of the previous attempt, or none while that one is
-    /// still in flight.
+    /// Counts a further attempt for a request. `after` is the status of the previous attempt, or none while
+    /// that one is still in flight.
     pub fn retried(&self, after: Option<Status>) {
-        count(&self.retries, after.map_or("second_copy", Status::name));
+        increment(&self.retries, after.map_or("second_copy", Status::name));
     }
 
     /// Counts an own copy that could not answer the request that it was offered for.
     pub fn copy_lost(&self, loss: CopyLoss) {
-        count(&self.copies_lost, loss);
+        increment(&self.copies_lost, loss);
     }
 
     /// Counts a final answer by the name of its verdict.
     pub fn answered(&self, word: &'static str) {
-        count(&self.answers, word);
+        increment(&self.answers, word);
     }
 
     /// Number of client connections that ended for this reason.
@@ -167,16 +169,16 @@
 /// Writes a heading and `name=count` pairs, or `none` where there are none.
 fn write_counts<'a>(
     f: &mut fmt::Formatter,
-    what: &str,
+    heading: &str,
     counts: impl Iterator<Item = (&'a str, u64)>,
 ) -> fmt::Result {
-    write!(f, "{what}:")?;
-    let mut none = true;
+    write!(f, "{heading}:")?;
+    let mut is_empty = true;
     for (name, count) in counts {
-        none = false;
+        is_empty = false;
         write!(f, " {name}={count}")?;
     }
-    if none { write!(f, " none") } else { Ok(()) }
+    if is_empty { write!(f, " none") } else { Ok(()) }
 }
 
 impl fmt::Display for Counters {
--- a/silverspindle/src/lib.rs
+++ b/silverspindle/src/lib.rs
@@ -1,9 +1,9 @@
 //! An edge router for branch caches: connects the decision module `bitternhold` to real sockets.
 //!
-//! Everything runs on one thread, on one local executor. The client connections ([`front`]), the connections to
-//! each peer ([`upstream`]), the membership list ([`coordinator`]) and the decision module ([`director`]) are actors.
-//! They exchange the messages defined in [`traffic`] through bounded mailboxes. The codecs ([`thrift`], [`resp`],
-//! [`feed`]) do no I/O.
+//! Everything runs on one thread, on one local executor. The client connections ([`front`]), the connections
+//! to each peer ([`upstream`]), the membership list ([`coordinator`]) and the decision module ([`director`])
+//! are actors. They exchange the messages defined in [`traffic`] through bounded mailboxes. The codecs
+//! ([`thrift`], [`resp`], [`feed`]) do no I/O.
 
 pub mod agreement;
 pub mod config;
--- a/silverspindle/src/logging.rs
+++ b/silverspindle/src/logging.rs
@@ -1,6 +1,7 @@
 //! Logging to standard error with `tracing`: Unix time, level, module, message and fields, as text or as JSON
-//! (`LB_LOG_FORMAT=json`). The number of lines per second is limited, so that misbehaving clients can neither fill the
-//! disk nor use up the processor. The number of suppressed lines is logged before the next line that is written.
+//! (`LB_LOG_FORMAT=json`). The number of lines per second is limited, so that misbehaving clients can neither
+//! fill the disk nor use up the processor. The number of suppressed lines is logged before the next line that
+//! is written.
 
 use std::fmt;
 use std::sync::Mutex;
@@ -14,36 +15,36 @@
 use tracing_subscriber::registry::LookupSpan;
 
 /// Maximum number of log lines per second.
-const MOST: u32 = 20;
+const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Rate limiter that passes at most [`MOST`] lines in each second.
+/// Rate limiter that passes at most [`MAX_LINES_PER_SECOND`] lines in each second.
 #[derive(Debug, Default)]
-pub struct Sieve {
+pub struct RateLimiter {
     second: Micros,
     passed: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-impl Sieve {
-    /// Returns the number of lines suppressed since the last one that passed if a line may be written at `now`, or none if
-    /// it is suppressed.
-    pub fn passes(&mut self, now: Micros) -> Option<u64> {
+impl RateLimiter {
+    /// Returns the number of lines suppressed since the last one that passed if a line may be written at
+    /// `now`, or none if it is suppressed.
+    pub fn admit(&mut self, now: Micros) -> Option<u64> {
         if self.second != now / 1_000_000 {
             (self.second, self.passed) = (now / 1_000_000, 0);
         }
-        if self.passed >= MOST {
-            self.left_out += 1;
+        if self.passed >= MAX_LINES_PER_SECOND {
+            self.suppressed += 1;
             return None;
         }
         self.passed += 1;
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
 /// Formats the wall-clock time as Unix seconds and milliseconds, as the logs of other machines do.
-struct Unix;
+struct UnixTime;
 
-impl FormatTime for Unix {
+impl FormatTime for UnixTime {
     fn format_time(&self, w: &mut Writer) -> fmt::Result {
         let now = crate::clock::Stamp::now().as_micros();
         write!(w, "{}.{:03}", now / 1_000_000, now / 1000 % 1000)
@@ -51,63 +52,64 @@
 }
 
 /// Formatter of log lines.
-struct Lines {
+struct LineFormat {
     /// Formatter for JSON output; none for text.
-    json: Option<Format<Json, Unix>>,
+    json: Option<Format<Json, UnixTime>>,
     /// None where a more verbose level than info was requested: then no line is suppressed.
-    sieve: Option<Mutex<Sieve>>,
+    limiter: Option<Mutex<RateLimiter>>,
 }
 
-impl Lines {
-    fn left_out(&self, mut w: Writer, lines: u64) -> fmt::Result {
+impl LineFormat {
+    fn write_suppressed(&self, mut w: Writer, lines: u64) -> fmt::Result {
         if self.json.is_none() {
-            Unix.format_time(&mut w)?;
+            UnixTime.format_time(&mut w)?;
             return writeln!(w, " INFO  logging: {lines} lines left out");
         }
         write!(w, r#"{{"timestamp":""#)?;
-        Unix.format_time(&mut w)?;
+        UnixTime.format_time(&mut w)?;
         let fields = r#""level":"INFO","fields":{"message":"lines left out","lines":"#;
         writeln!(w, r#"",{fields}{lines}}},"target":"silverspindle::logging"}}"#)
     }
 }
 
-impl<S, N> FormatEvent<S, N> for Lines
+impl<S, N> FormatEvent<S, N> for LineFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, ctx: &FmtContext<S, N>, mut w: Writer, event: &Event) -> fmt::Result {
-        let passes = |sieve: &Mutex<Sieve>| match sieve.lock() {
-            Ok(mut sieve) => sieve.passes(crate::clock::now()),
+        let admit = |limiter: &Mutex<RateLimiter>| match limiter.lock() {
+            Ok(mut limiter) => limiter.admit(crate::clock::now()),
             Err(_) => Some(0),
         };
-        let Some(left_out) = self.sieve.as_ref().map_or(Some(0), passes) else { return Ok(()) };
-        if left_out > 0 {
-            self.left_out(w.by_ref(), left_out)?;
+        let Some(suppressed) = self.limiter.as_ref().map_or(Some(0), admit) else { return Ok(()) };
+        if suppressed > 0 {
+            self.write_suppressed(w.by_ref(), suppressed)?;
         }
         if let Some(json) = &self.json {
             return json.format_event(ctx, w, event);
         }
-        let about = event.metadata();
-        Unix.format_time(&mut w)?;
-        let target = about.target().rsplit("::").next().unwrap_or_default();
-        write!(w, " {:5} {target}: ", about.level().as_str())?;
+        let metadata = event.metadata();
+        UnixTime.format_time(&mut w)?;
+        let target = metadata.target().rsplit("::").next().unwrap_or_default();
+        write!(w, " {:5} {target}: ", metadata.level().as_str())?;
         ctx.field_format().format_fields(w.by_ref(), event)?;
         writeln!(w)
     }
 }
 
-/// Starts logging of lines up to this level, as text or as one JSON object per line. A second call changes nothing.
-pub fn start(level: LevelFilter, json: bool) {
-    let sieve = (level <= LevelFilter::INFO).then(Mutex::default);
-    let json_lines = json.then(|| Format::default().json().with_timer(Unix));
-    let lines = Lines { json: json_lines, sieve };
-    // A line that can't be written is lost. Reporting the error on the same standard error, for example on a full disk,
-    // would panic.
-    let all = tracing_subscriber::fmt().log_internal_errors(false).with_max_level(level);
-    let all = all.with_writer(std::io::stderr);
+/// Starts logging of lines up to this level, as text or as one JSON object per line. A second call changes
+/// nothing.
+pub fn init(level: LevelFilter, json: bool) {
+    let limiter = (level <= LevelFilter::INFO).then(Mutex::default);
+    let json_lines = json.then(|| Format::default().json().with_timer(UnixTime));
+    let lines = LineFormat { json: json_lines, limiter };
+    // A line that can't be written is lost. Reporting the error on the same standard error, for example on a
+    // full disk, would panic.
+    let builder = tracing_subscriber::fmt().log_internal_errors(false).with_max_level(level);
+    let builder = builder.with_writer(std::io::stderr);
     let _ = match json {
-        true => all.fmt_fields(JsonFields::new()).event_format(lines).try_init(),
-        false => all.with_ansi(false).event_format(lines).try_init(),
+        true => builder.fmt_fields(JsonFields::new()).event_format(lines).try_init(),
+        false => builder.with_ansi(false).event_format(lines).try_init(),
     };
 }
--- a/silverspindle/src/main.rs
+++ b/silverspindle/src/main.rs
@@ -30,7 +30,7 @@
 /// An edge router for branch caches
 #[derive(Parser)]
 #[command(name = "silverspindle", version, after_help = ENVIRONMENT)]
-struct Line {
+struct Cli {
     #[command(subcommand)]
     command: Command,
 }
@@ -56,13 +56,14 @@
         file: Option<PathBuf>,
     },
     /// Run this program between stand-ins on loopback and check that every item gets exactly one final answer
-    Try(trials::Line),
+    Try(trials::TryArgs),
     /// Manage the keys and certificates for connections between routers
     #[command(subcommand)]
-    Keys(Keys),
+    Keys(KeysCommand),
     /// Show and change what the routers have agreed on
     Fleet {
-        /// The caller's operators' file, with the certificate and the agree-elector lines; defaults to that of LB_CONF
+        /// The caller's operators' file, with the certificate and the agree-elector lines; defaults to that
+        /// of LB_CONF
         #[arg(long, value_name = "FILE", global = true)]
         conf: Option<PathBuf>,
         /// Print the output as JSON
@@ -72,9 +73,10 @@
         #[arg(long, global = true)]
         id: Option<ProposalId>,
         #[command(subcommand)]
-        what: Fleet,
+        command: FleetCommand,
     },
-    /// Run hollow routers, which are the core of the purge log without the rest of a router, for 'try --hollow'
+    /// Run hollow routers, which are the core of the purge log without the rest of a router, for 'try
+    /// --hollow'
     #[command(hide = true)]
     Hollow {
         /// The operators' file of all hollow routers
@@ -102,7 +104,7 @@
 }
 
 #[derive(Subcommand)]
-enum Fleet {
+enum FleetCommand {
     /// Show the leader and each router's number, digest, life and age of confirmation; fails without a quorum
     Status,
     /// Add a router to the roll, the agreed list of routers, before it has started
@@ -132,33 +134,33 @@
     },
     /// Admit or dismiss electors, one at a time
     #[command(subcommand)]
-    Electors(Electors),
+    Electors(ElectorsCommand),
     /// Take boxes, parents and routers out of service for work and back
     #[command(subcommand)]
-    Work(WorkLine),
+    Work(WorkCommand),
     /// Propose, show and return versions of the agreed settings and lists
     #[command(subcommand)]
-    Rules(RulesLine),
+    Rules(RulesCommand),
     /// Follow purges and list events over relays
     #[command(subcommand)]
     Purge(purge::Line),
 }
 
 #[derive(Subcommand)]
-enum RulesLine {
+enum RulesCommand {
     /// Propose a file's complete set of rules as the next version
     Propose {
         /// The file, in the syntax of the operators' file
         file: PathBuf,
         #[command(flatten)]
-        how: How,
+        options: ProposalOptions,
     },
     /// Propose the rules of an earlier version again, as a new version
     Return {
         /// Number of the earlier version
         version: u64,
         #[command(flatten)]
-        how: How,
+        options: ProposalOptions,
     },
     /// Show the version in effect, the version being rolled out and the routers that it waits for
     Status,
@@ -185,24 +187,27 @@
 
 // Options of a proposed version. Not a doc comment, as clap would use it as the help text of the subcommands.
 #[derive(clap::Args)]
-struct How {
+struct ProposalOptions {
     /// Reason for the change, shown to people
     #[arg(long, default_value = "")]
     reason: String,
-    /// Version that the proposal is based on; refused, showing the differences, if another version is in effect by now
+    /// Version that the proposal is based on; refused, showing the differences, if another version is in
+    /// effect by now
     #[arg(long)]
     builds_on: Option<u64>,
-    /// Routers apply only what both versions allow until none applies the previous one alone; always so for keys that must
-    /// never contradict each other
+    /// Routers apply only what both versions allow until none applies the previous one alone; always so for
+    /// keys that must never contradict each other
     #[arg(long)]
     apart: bool,
-    /// Percentage of the routers that apply it first; taken back automatically if they serve less in time than the others
+    /// Percentage of the routers that apply it first; taken back automatically if they serve less in time
+    /// than the others
     #[arg(long, value_name = "PER CENT", value_parser = clap::value_parser!(u32).range(1..=99), conflicts_with = "apart")]
     trial: Option<u32>,
     /// With --trial: duration of the trial in seconds
     #[arg(long, default_value_t = 30)]
     trial_for: u64,
-    /// With --trial: percentage points by which the share served in time may be below the others' before it is taken back
+    /// With --trial: percentage points by which the share served in time may be below the others' before it
+    /// is taken back
     #[arg(long, default_value_t = 2)]
     margin: u32,
     /// Wait until it is in effect everywhere and print the routers that are missing
@@ -211,7 +216,7 @@
 }
 
 #[derive(Subcommand)]
-enum WorkLine {
+enum WorkCommand {
     /// Order machines out of service, one after the other as the fleet can spare them, or together
     Order {
         #[command(flatten)]
@@ -226,8 +231,8 @@
         #[arg(long)]
         wait: bool,
     },
-    /// Show in which order these machines and those already ordered would go out and which would wait and why, assuming
-    /// that each comes back as soon as it is out; changes nothing
+    /// Show in which order these machines and those already ordered would go out and which would wait and
+    /// why, assuming that each comes back as soon as it is out; changes nothing
     Plan {
         #[command(flatten)]
         machines: Machines,
@@ -288,13 +293,14 @@
 }
 
 /// Parses the id of an order of work.
-fn work_order(text: &str) -> Result<u64, String> {
+fn parse_order_id(text: &str) -> Result<u64, String> {
     u64::from_str_radix(text, 16).map_err(|_| format!("{text:?} is no order's id: 16 hex digits"))
 }
 
 #[derive(Subcommand)]
-enum Electors {
-    /// Make a router an elector that is named in the file and waits to become one; it votes once it has caught up
+enum ElectorsCommand {
+    /// Make a router an elector that is named in the file and waits to become one; it votes once it has
+    /// caught up
     Admit {
         /// The router's name
         name: String,
@@ -307,7 +313,7 @@
 }
 
 #[derive(Subcommand)]
-enum Keys {
+enum KeysCommand {
     /// Create the certificate authority: authority.pem and authority.key
     Init {
         /// The folder, created if it doesn't exist
@@ -340,88 +346,98 @@
 
 /// Carries out the command; on failure returns the lines for standard error.
 fn run(command: Command) -> Result<(), Vec<String>> {
-    let one = |e: String| vec![format!("silverspindle: {e}")];
-    let io = |e: std::io::Error| one(e.to_string());
-    let named = |file: Option<PathBuf>| file.or_else(|| environment("LB_CONF").map(PathBuf::from));
+    let problem = |e: String| vec![format!("silverspindle: {e}")];
+    let io_problem = |e: std::io::Error| problem(e.to_string());
+    let conf_file = |file: Option<PathBuf>| file.or_else(|| environment("LB_CONF").map(PathBuf::from));
     let mut out = std::io::stdout();
     match command {
         Command::Version => println!("silverspindle {}", env!("CARGO_PKG_VERSION")),
         Command::CheckConfig => {
-            let named =
+            let prefixed =
                 |faults: Vec<String>| faults.into_iter().map(|e| format!("silverspindle: {e}")).collect();
-            let config = Config::read_all(&environment).map_err(|faults| -> Vec<String> { named(faults) })?;
+            let config =
+                Config::read_all(&environment).map_err(|faults| -> Vec<String> { prefixed(faults) })?;
             config.notes.iter().for_each(|note| println!("{note}"));
-            let (classes, last) = (config.catalogue.classes.join(", "), config.known.0);
-            println!("{} on {}: classes {classes}; list known to event {last}", config.name, config.listen);
+            let (classes, last_event) = (config.catalogue.classes.join(", "), config.known.0);
+            println!(
+                "{} on {}: classes {classes}; list known to event {last_event}",
+                config.name, config.listen
+            );
         }
         Command::CheckConf { file } => {
             read_conf(Some(&file))?;
             println!("{}: no faults", file.display());
         }
-        Command::ShowConf { file } => print!("{}", read_conf(named(file).as_deref())?.show()),
+        Command::ShowConf { file } => print!("{}", read_conf(conf_file(file).as_deref())?.show()),
         Command::Serve { conf } => {
-            let file = named(conf);
-            let config = Config::read(&environment).map_err(one)?;
+            let file = conf_file(conf);
+            let config = Config::read(&environment).map_err(problem)?;
             let conf = read_conf(file.as_deref())?;
-            logging::start(config.level, config.json_logs);
-            let again = || (Config::read(&environment), read_conf(file.as_deref()));
-            serve::serve(config, conf, again).map_err(io)?;
+            logging::init(config.level, config.json_logs);
+            let read_again = || (Config::read(&environment), read_conf(file.as_deref()));
+            serve::serve(config, conf, read_again).map_err(io_problem)?;
         }
-        Command::Try(line) => trials::run(line)?,
-        Command::Keys(Keys::Init { folder, days }) => keys::init(&folder, days).map_err(one)?,
-        Command::Keys(Keys::Issue { folder, name, days }) => {
-            keys::issue(&folder, &name, days).map_err(one)?
+        Command::Try(args) => trials::run(args)?,
+        Command::Keys(KeysCommand::Init { folder, days }) => keys::init(&folder, days).map_err(problem)?,
+        Command::Keys(KeysCommand::Issue { folder, name, days }) => {
+            keys::issue(&folder, &name, days).map_err(problem)?
         }
-        Command::Keys(Keys::Show { file }) => print!("{}", keys::show(&file).map_err(one)?),
-        Command::Fleet { conf, json, what: Fleet::Purge(line), .. } => {
-            let conf = read_conf(named(conf).as_deref())?;
-            async_io::block_on(line.run(&conf, json)).map_err(one)?;
+        Command::Keys(KeysCommand::Show { file }) => print!("{}", keys::show(&file).map_err(problem)?),
+        Command::Fleet { conf, json, command: FleetCommand::Purge(line), .. } => {
+            let conf = read_conf(conf_file(conf).as_deref())?;
+            async_io::block_on(line.run(&conf, json)).map_err(problem)?;
         }
-        Command::Fleet { conf, json, id, what } => {
-            let conf = read_conf(named(conf).as_deref())?;
-            let staff = Staff::new(&conf).map_err(one)?;
-            async_io::block_on(fleet(&staff, what, json, id)).map_err(one)?;
+        Command::Fleet { conf, json, id, command } => {
+            let conf = read_conf(conf_file(conf).as_deref())?;
+            let staff = Staff::new(&conf).map_err(problem)?;
+            async_io::block_on(fleet(&staff, command, json, id)).map_err(problem)?;
         }
         Command::Hollow { conf, keys, first, count } => {
             let conf = read_conf(Some(&conf))?;
-            let relay = conf.relay.ok_or_else(|| one("relay-role: missing".to_owned()))?;
-            silverspindle::hollow::run(&relay, &keys, first, count).map_err(one)?;
+            let relay = conf.relay.ok_or_else(|| problem("relay-role: missing".to_owned()))?;
+            silverspindle::hollow::run(&relay, &keys, first, count).map_err(problem)?;
         }
         Command::Completion { shell } => {
-            clap_complete::generate(shell, &mut Line::command(), "silverspindle", &mut out);
+            clap_complete::generate(shell, &mut Cli::command(), "silverspindle", &mut out);
         }
-        Command::Man => clap_mangen::Man::new(Line::command()).render(&mut out).map_err(io)?,
+        Command::Man => clap_mangen::Man::new(Cli::command()).render(&mut out).map_err(io_problem)?,
     }
     Ok(())
 }
 
 /// Carries out a `fleet` subcommand that asks the electors.
-async fn fleet(staff: &Staff, what: Fleet, json: bool, id: Option<ProposalId>) -> Result<(), String> {
-    let change = match what {
-        Fleet::Status => {
-            let heard = staff.status().await;
+async fn fleet(
+    staff: &Staff,
+    command: FleetCommand,
+    json: bool,
+    id: Option<ProposalId>,
+) -> Result<(), String> {
+    let change = match command {
+        FleetCommand::Status => {
+            let statuses = staff.status().await;
             match json {
-                true => println!("{}", staff::json(&heard)),
-                false => print!("{}", staff::text(&heard)),
+                true => println!("{}", staff::json(&statuses)),
+                false => print!("{}", staff::text(&statuses)),
             }
-            return staff::leader(&heard).map(|_| ()).ok_or_else(|| "no quorum".to_owned());
+            return staff::leader(&statuses).map(|_| ()).ok_or_else(|| "no quorum".to_owned());
         }
-        Fleet::Work(line) => {
-            let say = match line {
-                WorkLine::Status => {
+        FleetCommand::Work(command) => {
+            let request = match command {
+                WorkCommand::Status => {
                     let (_, work) = staff.work().await?;
-                    // Only the leader knows what the orders wait for; without a leader the orders are shown alone.
-                    let why = match work.is_done() {
+                    // Only the leader knows what the orders wait for; without a leader the orders are shown
+                    // alone.
+                    let reasons = match work.is_done() {
                         true => Vec::new(),
-                        false => staff.sight().await.map_or_else(|_| Vec::new(), |(.., why)| why),
+                        false => staff.sight().await.map_or_else(|_| Vec::new(), |(.., reasons)| reasons),
                     };
                     match json {
-                        true => println!("{}", staff::orders_json(&work, &why)),
-                        false => print!("{}", staff::orders(&work, &why)),
+                        true => println!("{}", staff::orders_json(&work, &reasons)),
+                        false => print!("{}", staff::orders(&work, &reasons)),
                     }
                     return Ok(());
                 }
-                WorkLine::Plan { machines } => {
+                WorkCommand::Plan { machines } => {
                     let together = machines.together;
                     let (_, plan) = staff.plan(machines.all(), together).await?;
                     match json {
@@ -430,17 +446,17 @@
                     }
                     return Ok(());
                 }
-                WorkLine::Order { machines, reason, order, wait } => {
+                WorkCommand::Order { machines, reason, order, wait } => {
                     let id = match &order {
-                        Some(text) => work_order(text)?,
+                        Some(text) => parse_order_id(text)?,
                         None => draw()?,
                     };
                     let (together, machines) = (machines.together, machines.all());
-                    let say = Say::Order { machines, together, reason, id };
+                    let request = Say::Order { machines, together, reason, id };
                     if wait {
-                        let (proposal, reply) = staff.say(&say).await?;
-                        tell(proposal, &reply, json)?;
-                        let changed = |machine: &Machine, stage: Option<Stage>| {
+                        let (proposal, reply) = staff.say(&request).await?;
+                        print_outcome(proposal, &reply, json)?;
+                        let print_change = |machine: &Machine, stage: Option<Stage>| {
                             let stage = stage.map_or("done".to_owned(), |s| format!("{s:?}").to_lowercase());
                             match json {
                                 true => println!(
@@ -450,44 +466,44 @@
                                 false => println!("{machine}: {stage}"),
                             }
                         };
-                        return staff.wait(id, changed).await;
+                        return staff.wait(id, print_change).await;
                     }
-                    say
+                    request
                 }
-                WorkLine::Withdraw { order } => Say::Withdraw(work_order(&order)?),
-                WorkLine::Back { boxed, parent, router } => {
+                WorkCommand::Withdraw { order } => Say::Withdraw(parse_order_id(&order)?),
+                WorkCommand::Back { boxed, parent, router } => {
                     let machine = boxed.map(Machine::Box).or(parent.map(Machine::Parent));
                     let machine = machine.or(router.map(Machine::Router));
                     Say::Back(machine.ok_or("--box, --parent or --router is required")?)
                 }
-                WorkLine::Stop => Say::Stop(true),
-                WorkLine::Go => Say::Stop(false),
+                WorkCommand::Stop => Say::Stop(true),
+                WorkCommand::Go => Say::Stop(false),
             };
-            let (id, reply) = staff.say(&say).await?;
-            return tell(id, &reply, json);
+            let (id, reply) = staff.say(&request).await?;
+            return print_outcome(id, &reply, json);
         }
-        Fleet::Rules(line) => return rules(staff, line, json).await,
-        Fleet::Purge(_) => return Err("'fleet purge' asks the sources, not the electors".to_owned()),
-        Fleet::Join { name } => Change::Join { name, life: 0 },
-        Fleet::Forget { name, life: None } => Change::Forget { name },
-        Fleet::Forget { name, life: Some(life) } => Change::Leave { name, life },
-        Fleet::Burst { count } => {
-            let began = std::time::Instant::now();
-            let settled = staff.burst(count).await?;
-            let took = began.elapsed().as_secs_f64();
-            println!("{settled} decisions in {took:.2} s, {:.0} a second", settled as f64 / took);
+        FleetCommand::Rules(command) => return rules(staff, command, json).await,
+        FleetCommand::Purge(_) => return Err("'fleet purge' asks the sources, not the electors".to_owned()),
+        FleetCommand::Join { name } => Change::Join { name, life: 0 },
+        FleetCommand::Forget { name, life: None } => Change::Forget { name },
+        FleetCommand::Forget { name, life: Some(life) } => Change::Leave { name, life },
+        FleetCommand::Burst { count } => {
+            let start = std::time::Instant::now();
+            let decided = staff.burst(count).await?;
+            let elapsed = start.elapsed().as_secs_f64();
+            println!("{decided} decisions in {elapsed:.2} s, {:.0} a second", decided as f64 / elapsed);
             return Ok(());
         }
         // Routers act on the text of these topics, and on nothing else if it can't be read.
-        Fleet::Note { topic, .. } if staff::is_taken(&topic) => {
+        FleetCommand::Note { topic, .. } if staff::is_taken(&topic) => {
             return Err(format!("{topic} is the program's own: use 'fleet work' or 'fleet rules'"));
         }
-        Fleet::Note { topic, text } => Change::Note { topic, body: text.into_bytes() },
-        Fleet::Electors(Electors::Admit { name }) => staff.seat(&name, true).await?,
-        Fleet::Electors(Electors::Dismiss { name }) => staff.seat(&name, false).await?,
+        FleetCommand::Note { topic, text } => Change::Note { topic, body: text.into_bytes() },
+        FleetCommand::Electors(ElectorsCommand::Admit { name }) => staff.seat(&name, true).await?,
+        FleetCommand::Electors(ElectorsCommand::Dismiss { name }) => staff.seat(&name, false).await?,
     };
     let (id, reply) = staff.propose(change, id).await?;
-    tell(id, &reply, json)
+    print_outcome(id, &reply, json)
 }
 
 /// Reads a file of rules; on failure returns all faults, one per line.
@@ -499,8 +515,8 @@
 }
 
 /// Carries out a `fleet rules` subcommand.
-async fn rules(staff: &Staff, line: RulesLine, json: bool) -> Result<(), String> {
-    let said = async |number: u64| {
+async fn rules(staff: &Staff, command: RulesCommand, json: bool) -> Result<(), String> {
+    let rules_of = async |number: u64| {
         let (_, state) = staff.rules().await?;
         if state.current.head.number == number {
             return Ok(state.current.rules);
@@ -515,12 +531,12 @@
             _ => Err(format!("what version {number} said is not kept")),
         }
     };
-    match line {
-        RulesLine::Check { file } => {
+    match command {
+        RulesCommand::Check { file } => {
             read_rules(&file)?;
             println!("{}: no faults", file.display());
         }
-        RulesLine::Status => {
+        RulesCommand::Status => {
             let (_, state) = staff.rules().await?;
             let (shares, sight) = (staff.shares().await?, staff.rules_sight().await);
             match json {
@@ -528,35 +544,37 @@
                 false => print!("{}", staff::rules_text(&state, &shares, sight.as_ref())),
             }
         }
-        RulesLine::Show { version } => {
+        RulesCommand::Show { version } => {
             let number = match version {
                 Some(number) => number,
                 None => staff.rules().await?.1.current.head.number,
             };
-            print!("{}", silverspindle_rules::show(&said(number).await?));
+            print!("{}", silverspindle_rules::show(&rules_of(number).await?));
+        }
+        RulesCommand::Diff { from, to } => print!("{}", rules_of(from).await?.diff(&rules_of(to).await?)),
+        RulesCommand::History => print!("{}", staff::history_text(&staff.rules().await?.1)),
+        RulesCommand::Propose { file, options } => {
+            return propose(staff, read_rules(&file)?, options, json).await;
         }
-        RulesLine::Diff { from, to } => print!("{}", said(from).await?.diff(&said(to).await?)),
-        RulesLine::History => print!("{}", staff::history_text(&staff.rules().await?.1)),
-        RulesLine::Propose { file, how } => return propose(staff, read_rules(&file)?, how, json).await,
-        RulesLine::Return { version, mut how } => {
-            let rules = said(version).await?;
-            if how.reason.is_empty() {
-                how.reason = format!("returns to {version}");
+        RulesCommand::Return { version, mut options } => {
+            let rules = rules_of(version).await?;
+            if options.reason.is_empty() {
+                options.reason = format!("returns to {version}");
             }
-            return propose(staff, rules, how, json).await;
+            return propose(staff, rules, options, json).await;
         }
     }
     Ok(())
 }
 
 /// Proposes a version of the rules and prints the outcome.
-async fn propose(staff: &Staff, rules: Rules, how: How, json: bool) -> Result<(), String> {
+async fn propose(staff: &Staff, rules: Rules, options: ProposalOptions, json: bool) -> Result<(), String> {
     let trial = |per_cent: u32| {
-        let lasts = how.trial_for.saturating_mul(1_000_000);
-        Way::Trial(Trial { per_mille: per_cent * 10, lasts, margin: how.margin.saturating_mul(10) })
+        let lasts = options.trial_for.saturating_mul(1_000_000);
+        Way::Trial(Trial { per_mille: per_cent * 10, lasts, margin: options.margin.saturating_mul(10) })
     };
-    let way = how.trial.map(trial).or(how.apart.then_some(Way::Apart));
-    let (number, id, reply) = staff.propose_rules(rules, &how.reason, how.builds_on, way).await?;
+    let way = options.trial.map(trial).or(options.apart.then_some(Way::Apart));
+    let (number, id, reply) = staff.propose_rules(rules, &options.reason, options.builds_on, way).await?;
     match json {
         true => {
             let made = match &reply {
@@ -568,12 +586,13 @@
         }
         false => {
             println!("version {number}");
-            tell(id, &reply, false)?;
+            print_outcome(id, &reply, false)?;
         }
     }
-    if how.wait {
-        let holds = staff.wait_rules(number, |missing| println!("missing: {}", missing.join(", "))).await?;
-        if !holds {
+    if options.wait {
+        let in_effect =
+            staff.wait_rules(number, |missing| println!("missing: {}", missing.join(", "))).await?;
+        if !in_effect {
             return Err(format!("version {number} was taken back: see 'fleet rules history'"));
         }
         println!("version {number} holds everywhere");
@@ -582,27 +601,27 @@
 }
 
 /// Prints the outcome of a proposal; a refusal is returned as an error in text mode.
-fn tell(id: ProposalId, reply: &Reply, json: bool) -> Result<(), String> {
-    let said = staff::outcome(id, reply);
+fn print_outcome(id: ProposalId, reply: &Reply, json: bool) -> Result<(), String> {
+    let outcome = staff::outcome(id, reply);
     if json {
         let (made, number) = match reply {
             Some(Verdict::Made(number)) => (Some(true), Some(*number)),
             Some(Verdict::Refused(number, _)) => (Some(false), Some(*number)),
             None => (None, None),
         };
-        let text = said.clone().unwrap_or_else(|e| e);
+        let text = outcome.clone().unwrap_or_else(|e| e);
         println!(
             "{}",
             serde_json::json!({"id": id.to_string(), "made": made, "number": number, "text": text})
         );
-        return said.map(|_| ());
+        return outcome.map(|_| ());
     }
-    println!("{}", said?);
+    println!("{}", outcome?);
     Ok(())
 }
 
 fn main() -> ExitCode {
-    match run(Line::parse().command) {
+    match run(Cli::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problems) => {
             problems.iter().for_each(|problem| eprintln!("{problem}"));
--- a/silverspindle/src/management.rs
+++ b/silverspindle/src/management.rs
@@ -1,10 +1,11 @@
 //! The management address: HTTP/1.1 for operators and the platform, one call per connection.
 //!
-//! `GET /-/ready` returns 200 while the router serves and 503 otherwise, `PUT /-/drain` starts a drain, `PUT /-/resume`
-//! accepts clients again. [`answer`] interprets a call and does no I/O. The listener holds a few connections at a time,
-//! each for at most [`CALL_TIME`], and closes the oldest to make room for a new one: a caller that never finishes takes up
-//! a slot until its timeout but never delays the others. Request heads are parsed by `httparse` in a fixed buffer, so no
-//! memory is allocated on a length that the caller claims.
+//! `GET /-/ready` returns 200 while the router serves and 503 otherwise, `PUT /-/drain` starts a drain, `PUT
+//! /-/resume` accepts clients again. [`handle`] interprets a call and does no I/O. The listener holds a few
+//! connections at a time, each for at most [`CALL_TIMEOUT`], and closes the oldest to make room for a new
+//! one: a caller that never finishes takes up a slot until its timeout but never delays the others. Request
+//! heads are parsed by `httparse` in a fixed buffer, so no memory is allocated on a length that the caller
+//! claims.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,76 +25,78 @@
 use crate::limited::LimitedLine;
 
 /// Maximum number of open calls; a further one closes the oldest.
-pub const MOST_CALLS: usize = 8;
+pub const MAX_CALLS: usize = 8;
 /// Timeout of a whole call. Callers wait 1 s for the answer.
-pub const CALL_TIME: Duration = Duration::from_millis(900);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Maximum length of a request head, in bytes.
-pub const MOST_HEAD: usize = 2048;
+pub const MAX_HEAD_BYTES: usize = 2048;
 /// Maximum length of a request body, in bytes. Bodies are read and discarded.
-const MOST_BODY: usize = 1024;
+const MAX_BODY_BYTES: usize = 1024;
 /// Maximum number of headers in a request.
-const MOST_HEADERS: usize = 24;
+const MAX_HEADERS: usize = 24;
 /// Delay after a failed accept, for example when no file descriptor is free.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Response to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status code.
     pub status: u16,
     /// Body text, one line without its line end.
     pub text: &'static str,
     /// Bytes of the request body that have not arrived yet; they are read before the response is sent.
-    pub body_left: usize,
+    pub body_remaining: usize,
 }
 
 /// Result of parsing the bytes received so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Read {
+pub enum Parsed {
     /// The head is incomplete.
-    More,
+    Incomplete,
     /// The call was carried out or refused.
-    Answer(Answer),
+    Response(Response),
 }
 
-fn refuse(status: u16, text: &'static str) -> Read {
-    Read::Answer(Answer { status, text, body_left: 0 })
+fn refusal(status: u16, text: &'static str) -> Parsed {
+    Parsed::Response(Response { status, text, body_remaining: 0 })
 }
 
 /// Parses a call from the bytes received so far and applies it to the drain.
-pub fn answer(bytes: &[u8], drain: &mut Drain, now: Micros) -> Read {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+pub fn handle(bytes: &[u8], drain: &mut Drain, now: Micros) -> Parsed {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let head = match request.parse(bytes) {
-        Ok(httparse::Status::Complete(head)) => head,
-        Ok(httparse::Status::Partial) if bytes.len() >= MOST_HEAD => return refuse(431, "head too long"),
-        Ok(httparse::Status::Partial) => return Read::More,
-        Err(_) => return refuse(400, "malformed request"),
+    let head_length = match request.parse(bytes) {
+        Ok(httparse::Status::Complete(head_length)) => head_length,
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => {
+            return refusal(431, "head too long");
+        }
+        Ok(httparse::Status::Partial) => return Parsed::Incomplete,
+        Err(_) => return refusal(400, "malformed request"),
     };
-    let mut length = 0usize;
+    let mut body_length = 0usize;
     for header in request.headers.iter() {
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return refuse(411, "a length is needed");
+            return refusal(411, "a length is needed");
         }
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = std::str::from_utf8(header.value).ok().filter(|t| !t.is_empty());
             match digits.filter(|t| t.bytes().all(|b| b.is_ascii_digit())).and_then(|t| t.parse().ok()) {
-                Some(n) if n <= MOST_BODY => length = n,
-                Some(_) => return refuse(413, "body too long"),
-                None => return refuse(400, "malformed content-length"),
+                Some(n) if n <= MAX_BODY_BYTES => body_length = n,
+                Some(_) => return refusal(413, "body too long"),
+                None => return refusal(400, "malformed content-length"),
             }
         }
     }
-    let body_left = length.saturating_sub(bytes.len() - head);
+    let body_remaining = body_length.saturating_sub(bytes.len() - head_length);
     let (method, path) = (request.method.unwrap_or(""), request.path.unwrap_or(""));
     let path = path.split('?').next().unwrap_or("");
-    let wanted = match path {
+    let expected = match path {
         "/-/ready" => "GET",
         "/-/drain" | "/-/resume" => "PUT",
-        _ => return refuse(404, "no such call; there are GET /-/ready, PUT /-/drain, PUT /-/resume"),
+        _ => return refusal(404, "no such call; there are GET /-/ready, PUT /-/drain, PUT /-/resume"),
     };
-    if method != wanted {
-        return refuse(405, if wanted == "GET" { "use GET" } else { "use PUT" });
+    if method != expected {
+        return refusal(405, if expected == "GET" { "use GET" } else { "use PUT" });
     }
     let (status, text) = match path {
         "/-/ready" if drain.ready() => (200, "ready"),
@@ -108,12 +111,12 @@
             (200, "serving")
         }
     };
-    Read::Answer(Answer { status, text, body_left })
+    Parsed::Response(Response { status, text, body_remaining })
 }
 
 /// Encodes a response. It announces that the connection is closed afterwards.
-pub fn written(answer: &Answer) -> Vec<u8> {
-    let reason = match answer.status {
+pub fn encode(response: &Response) -> Vec<u8> {
+    let reason = match response.status {
         200 => "OK",
         400 => "Bad Request",
         404 => "Not Found",
@@ -125,16 +128,16 @@
         503 => "Service Unavailable",
         _ => "",
     };
-    let allow = match answer.status {
-        405 if answer.text == "use GET" => "Allow: GET\r\n",
+    let allow = match response.status {
+        405 if response.text == "use GET" => "Allow: GET\r\n",
         405 => "Allow: PUT\r\n",
         _ => "",
     };
     format!(
         "HTTP/1.1 {} {reason}\r\n{allow}Content-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{}\n",
-        answer.status,
-        answer.text.len() + 1,
-        answer.text
+        response.status,
+        response.text.len() + 1,
+        response.text
     )
     .into_bytes()
 }
@@ -144,14 +147,15 @@
     drain: Rc<RefCell<Drain>>,
     /// Wakes the front's connection sweep after a call.
     nudge: Sender<()>,
-    calls: RefCell<BTreeMap<u64, Sender<()>>>,
-    next: std::cell::Cell<u64>,
+    open_calls: RefCell<BTreeMap<u64, Sender<()>>>,
+    next_id: std::cell::Cell<u64>,
 }
 
 impl Management {
-    /// Creates a server whose calls change `drain`, which the front reads; `nudge` notifies the front of a change.
+    /// Creates a server whose calls change `drain`, which the front reads; `nudge` notifies the front of a
+    /// change.
     pub fn new(drain: Rc<RefCell<Drain>>, nudge: Sender<()>) -> Rc<Self> {
-        Rc::new(Self { drain, nudge, calls: RefCell::default(), next: std::cell::Cell::new(0) })
+        Rc::new(Self { drain, nudge, open_calls: RefCell::default(), next_id: std::cell::Cell::new(0) })
     }
 
     /// Accepts and serves calls; never returns.
@@ -164,33 +168,33 @@
                     if line.is_due() {
                         tracing::warn!("management accept: {e}");
                     }
-                    Timer::after(ACCEPT_AGAIN).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            let full = self.calls.borrow().len() >= MOST_CALLS;
-            if let Some((_, cut)) = full.then(|| self.calls.borrow_mut().pop_first()).flatten() {
-                let _ = cut.try_send(());
+            let full = self.open_calls.borrow().len() >= MAX_CALLS;
+            if let Some((_, close)) = full.then(|| self.open_calls.borrow_mut().pop_first()).flatten() {
+                let _ = close.try_send(());
             }
-            let id = self.next.get();
-            self.next.set(id + 1);
-            let (cut, cuts) = async_channel::bounded(1);
-            self.calls.borrow_mut().insert(id, cut);
-            let me = self.clone();
+            let id = self.next_id.get();
+            self.next_id.set(id + 1);
+            let (close, close_requests) = async_channel::bounded(1);
+            self.open_calls.borrow_mut().insert(id, close);
+            let server = self.clone();
             tasks
                 .spawn(async move {
-                    let cut_off = async {
-                        let _ = cuts.recv().await;
+                    let closed = async {
+                        let _ = close_requests.recv().await;
                         Err(io::Error::other("closed to make room"))
                     };
-                    let late = async {
-                        Timer::after(CALL_TIME).await;
+                    let timed_out = async {
+                        Timer::after(CALL_TIMEOUT).await;
                         Err(io::Error::from(io::ErrorKind::TimedOut))
                     };
-                    if let Err(e) = future::or(cut_off, future::or(late, me.call(stream))).await {
+                    if let Err(e) = future::or(closed, future::or(timed_out, server.call(stream))).await {
                         tracing::debug!(call = id, "management: {e}");
                     }
-                    me.calls.borrow_mut().remove(&id);
+                    server.open_calls.borrow_mut().remove(&id);
                 })
                 .detach();
         }
@@ -198,32 +202,32 @@
 
     /// Reads one call, applies it and writes the response.
     async fn call(&self, mut stream: Async<TcpStream>) -> io::Result<()> {
-        let mut buffer = [0u8; MOST_HEAD];
+        let mut buffer = [0u8; MAX_HEAD_BYTES];
         let mut filled = 0;
-        let answer = loop {
+        let response = loop {
             let n = stream.read(&mut buffer[filled..]).await?;
             if n == 0 {
                 return Ok(());
             }
             filled += n;
-            let read = answer(&buffer[..filled], &mut self.drain.borrow_mut(), clock::now());
-            if let Read::Answer(answer) = read {
+            let read = handle(&buffer[..filled], &mut self.drain.borrow_mut(), clock::now());
+            if let Parsed::Response(response) = read {
                 let _ = self.nudge.try_send(());
-                break answer;
+                break response;
             }
         };
-        if answer.status == 200 && answer.text != "ready" {
-            tracing::info!("management: {}", answer.text);
+        if response.status == 200 && response.text != "ready" {
+            tracing::info!("management: {}", response.text);
         }
-        let mut left = answer.body_left;
-        while left > 0 {
-            let n = stream.read(&mut buffer[..left.min(MOST_HEAD)]).await?;
+        let mut remaining = response.body_remaining;
+        while remaining > 0 {
+            let n = stream.read(&mut buffer[..remaining.min(MAX_HEAD_BYTES)]).await?;
             if n == 0 {
                 break;
             }
-            left -= n;
+            remaining -= n;
         }
-        stream.write_all(&written(&answer)).await?;
+        stream.write_all(&encode(&response)).await?;
         stream.flush().await?;
         let _ = stream.get_ref().shutdown(std::net::Shutdown::Write);
         Ok(())
@@ -234,82 +238,91 @@
 mod tests {
     use super::*;
 
-    fn said(text: &str, drain: &mut Drain) -> Read {
-        answer(text.as_bytes(), drain, 5)
+    fn call(text: &str, drain: &mut Drain) -> Parsed {
+        handle(text.as_bytes(), drain, 5)
     }
 
-    fn status(read: Read) -> u16 {
+    fn status(read: Parsed) -> u16 {
         match read {
-            Read::Answer(a) => a.status,
-            Read::More => 0,
+            Parsed::Response(a) => a.status,
+            Parsed::Incomplete => 0,
         }
     }
 
     #[test]
     fn ready_drain_and_resume_follow_the_state_of_the_drain() {
-        let mut d = Drain::new();
-        assert_eq!(status(said("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", &mut d)), 503);
-        d.started();
-        assert_eq!(status(said("GET /-/ready HTTP/1.1\r\n\r\n", &mut d)), 200);
-        assert_eq!(status(said("PUT /-/drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n", &mut d)), 200);
-        assert!(!d.ready());
-        assert_eq!(status(said("GET /-/ready HTTP/1.1\r\n\r\n", &mut d)), 503);
+        let mut drain = Drain::new();
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", &mut drain)), 503);
+        drain.started();
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 200);
+        assert_eq!(status(call("PUT /-/drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n", &mut drain)), 200);
+        assert!(!drain.ready());
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 503);
         assert_eq!(
-            status(said("PUT /-/drain HTTP/1.1\r\n\r\n", &mut d)),
+            status(call("PUT /-/drain HTTP/1.1\r\n\r\n", &mut drain)),
             200,
             "a second drain call succeeds"
         );
-        assert_eq!(status(said("PUT /-/resume HTTP/1.1\r\n\r\n", &mut d)), 200);
-        assert_eq!(status(said("PUT /-/resume HTTP/1.1\r\n\r\n", &mut d)), 200);
-        assert_eq!(status(said("GET /-/ready HTTP/1.1\r\n\r\n", &mut d)), 200);
-        d.end(6);
-        assert_eq!(status(said("PUT /-/resume HTTP/1.1\r\n\r\n", &mut d)), 409);
-        assert_eq!(status(said("GET /-/ready HTTP/1.1\r\n\r\n", &mut d)), 503);
+        assert_eq!(status(call("PUT /-/resume HTTP/1.1\r\n\r\n", &mut drain)), 200);
+        assert_eq!(status(call("PUT /-/resume HTTP/1.1\r\n\r\n", &mut drain)), 200);
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 200);
+        drain.end(6);
+        assert_eq!(status(call("PUT /-/resume HTTP/1.1\r\n\r\n", &mut drain)), 409);
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 503);
     }
 
     #[test]
     fn invalid_calls_are_refused_and_change_nothing() {
-        let mut d = Drain::new();
-        d.started();
-        assert_eq!(status(said("GET /-/drain HTTP/1.1\r\n\r\n", &mut d)), 405);
-        assert_eq!(status(said("POST /-/ready HTTP/1.1\r\n\r\n", &mut d)), 405);
+        let mut drain = Drain::new();
+        drain.started();
+        assert_eq!(status(call("GET /-/drain HTTP/1.1\r\n\r\n", &mut drain)), 405);
+        assert_eq!(status(call("POST /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 405);
         assert_eq!(
-            status(said("HEAD /-/ready HTTP/1.1\r\n\r\n", &mut d)),
+            status(call("HEAD /-/ready HTTP/1.1\r\n\r\n", &mut drain)),
             405,
             "the response always has a body, so HEAD is not supported"
         );
-        assert_eq!(status(said("GET /metrics HTTP/1.1\r\n\r\n", &mut d)), 404);
-        assert_eq!(status(said("GARBAGE\r\n\r\n", &mut d)), 400);
-        assert_eq!(status(said("PUT /-/drain HTTP/1.1\r\nContent-Length: x\r\n\r\n", &mut d)), 400);
-        assert_eq!(status(said("PUT /-/drain HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", &mut d)), 413);
-        assert_eq!(status(said("PUT /-/drain HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", &mut d)), 411);
-        assert!(d.ready(), "a refused call doesn't drain");
-        let long = format!("GET /-/ready HTTP/1.1\r\nX: {}", "a".repeat(MOST_HEAD));
-        assert_eq!(status(said(&long, &mut d)), 431);
+        assert_eq!(status(call("GET /metrics HTTP/1.1\r\n\r\n", &mut drain)), 404);
+        assert_eq!(status(call("GARBAGE\r\n\r\n", &mut drain)), 400);
+        assert_eq!(status(call("PUT /-/drain HTTP/1.1\r\nContent-Length: x\r\n\r\n", &mut drain)), 400);
+        assert_eq!(status(call("PUT /-/drain HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", &mut drain)), 413);
+        assert_eq!(
+            status(call("PUT /-/drain HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", &mut drain)),
+            411
+        );
+        assert!(drain.ready(), "a refused call doesn't drain");
+        let long = format!("GET /-/ready HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD_BYTES));
+        assert_eq!(status(call(&long, &mut drain)), 431);
     }
 
     #[test]
     fn a_partial_call_waits_for_the_rest() {
         let whole = "PUT /-/drain HTTP/1.1\r\nHost: router\r\nContent-Length: 3\r\n\r\nyes";
         for cut in 0..whole.len() - 3 {
-            let mut d = Drain::new();
-            d.started();
+            let mut drain = Drain::new();
+            drain.started();
             assert_eq!(
-                answer(&whole.as_bytes()[..cut], &mut d, 1),
-                Read::More,
+                handle(&whole.as_bytes()[..cut], &mut drain, 1),
+                Parsed::Incomplete,
                 "answered an incomplete call of {cut} bytes"
             );
-            assert!(d.ready());
+            assert!(drain.ready());
         }
-        let mut d = Drain::new();
-        let Read::Answer(a) = answer(&whole.as_bytes()[..whole.len() - 1], &mut d, 1) else { panic!() };
-        assert_eq!((a.status, a.body_left), (200, 1), "the rest of the body is read before the response");
+        let mut drain = Drain::new();
+        let Parsed::Response(a) = handle(&whole.as_bytes()[..whole.len() - 1], &mut drain, 1) else {
+            panic!()
+        };
+        assert_eq!(
+            (a.status, a.body_remaining),
+            (200, 1),
+            "the rest of the body is read before the response"
+        );
     }
 
     #[test]
     fn responses_have_a_length_and_close_the_connection() {
-        let a = Answer { status: 405, text: "use PUT", body_left: 0 };
-        let text = String::from_utf8(written(&a)).unwrap();
+        let a = Response { status: 405, text: "use PUT", body_remaining: 0 };
+        let text = String::from_utf8(encode(&a)).unwrap();
         assert!(text.starts_with("HTTP/1.1 405 Method Not Allowed\r\nAllow: PUT\r\n"));
         assert!(text.contains("Content-Length: 8\r\nConnection: close\r\n\r\nuse PUT\n"));
     }
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -1,4 +1,5 @@
-//! Life cycle of a router process: starts the actors from the configuration, reloads on SIGHUP and shuts down.
+//! Life cycle of a router process: starts the actors from the configuration, reloads on SIGHUP and shuts
+//! down.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -28,77 +29,92 @@
 use crate::links::Connector;
 use crate::management::Management;
 use crate::traffic::{Board, Descriptors, Message, Shared};
-use crate::upgrade::{Beside, part};
+use crate::upgrade::{ProcessFile, remaining_limit};
 use crate::{clock, invariant};
 
-/// File descriptors reserved for everything but clients and peers: the listener, the coordinator, signals, the reactor.
+/// File descriptors reserved for everything but clients and peers: the listener, the coordinator, signals,
+/// the reactor.
 const OTHER_DESCRIPTORS: usize = 24;
-/// Own copies use at most this fraction (one in N) of the memory limit, and never more than [`MOST_COPIES`] bytes.
-const COPIES_PART: usize = 8;
+/// Own copies use at most this fraction (one in N) of the memory limit, and never more than
+/// [`MAX_COPIES_BYTES`] bytes.
+const COPIES_MEMORY_DIVISOR: usize = 8;
 /// Upper limit of the memory for own copies, in bytes.
-const MOST_COPIES: usize = 12_000_000;
+const MAX_COPIES_BYTES: usize = 12_000_000;
 /// Capacity of the queue of new coordinator addresses.
-const MOVES: usize = 4;
+const COORDINATOR_MOVES_CAPACITY: usize = 4;
 /// Minimum number of file descriptors for caches: a relay that has clients doesn't start with fewer.
-const LEAST_FOR_PEERS: usize = 16;
+const MIN_PEER_DESCRIPTORS: usize = 16;
 /// Interval at which a shutdown checks whether the process may exit.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval at which the usage of an older process on the same address is measured, while there is one.
-const LOOK_BESIDE: Duration = Duration::from_millis(200);
+const OLDER_PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Delay between two attempts to bind the exchange's address while another process holds it.
-const TAKEN_AGAIN: Duration = Duration::from_millis(100);
+const EXCHANGE_BIND_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Interval between two warnings that the exchange's address is in use, in microseconds.
-const SAY_TAKEN: bitternhold::Micros = 10_000_000;
-/// Timeout for reporting to the other routers that this one has left the roll. Short, as SIGKILL may follow soon.
-const LEAVE: Duration = Duration::from_millis(200);
+const EXCHANGE_BIND_LOG_INTERVAL: bitternhold::Micros = 10_000_000;
+/// Timeout for reporting to the other routers that this one has left the roll. Short, as SIGKILL may follow
+/// soon.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Interval of the log line that says what a shutdown waits for, in microseconds.
-const SAY_EVERY: bitternhold::Micros = 500_000;
+const SHUTDOWN_LOG_INTERVAL: bitternhold::Micros = 500_000;
 
 /// A running router: handles to its actors.
 pub struct Router {
     /// Address on which clients connect, with the port that the kernel chose if the configuration says 0.
     pub address: SocketAddr,
-    moves: Sender<SocketAddr>,
-    coordinator: Cell<SocketAddr>,
+    /// Sends the coordinator's new address to the actor that follows it.
+    coordinator_moves: Sender<SocketAddr>,
+    /// The coordinator's address of the configuration in effect.
+    coordinator_address: Cell<SocketAddr>,
     front: Rc<Front>,
     drain: Rc<RefCell<Drain>>,
-    /// The file in `$TMPDIR` by which processes on the same address find each other; none if it can't be written.
-    beside: Option<Rc<Beside>>,
-    owed: Rc<Owed>,
+    /// The file in `$TMPDIR` by which processes on the same address find each other; none if it can't be
+    /// written.
+    process_file: Option<Rc<ProcessFile>>,
+    /// Number of requests without a final answer.
+    open_requests: Rc<Owed>,
+    /// The operators' file in effect.
     conf: RefCell<Conf>,
+    /// The exchange with other routers, if it is on.
     hub: Option<Rc<Hub>>,
     director: Sender<Message>,
-    agreed: Rc<RefCell<Option<agreement::Handle>>>,
+    /// The agreement with other routers, once it has started.
+    agreement_handle: Rc<RefCell<Option<agreement::Handle>>>,
     name: String,
 }
 
 impl Router {
-    /// Opens the listeners, applies the `known` events of the configuration and starts the actors. On return the router
-    /// is ready.
+    /// Opens the listeners, applies the `known` events of the configuration and starts the actors. On return
+    /// the router is ready.
     pub fn start(config: Config, conf: Conf, tasks: &Rc<LocalExecutor<'static>>) -> io::Result<Self> {
         config.notes.iter().for_each(|note| tracing::warn!("{note}"));
-        let listener = Async::new(shared_listener(config.listen)?)?;
+        let listener = Async::new(bind_shared(config.listen)?)?;
         let management = config.management.map(Async::<TcpListener>::bind).transpose()?;
         let address = listener.get_ref().local_addr()?;
         let catalogue = Rc::new(config.catalogue);
-        let (mailbox, messages) = async_channel::bounded(director::MAILBOX);
-        let (tell, news) = async_channel::bounded(director::MAILBOX);
-        let exchanges = conf.exchange.as_ref().map_or(0, exchange::descriptors);
+        let (mailbox, mailbox_receiver) = async_channel::bounded(director::MAILBOX);
+        let (notice_sender, notices) = async_channel::bounded(director::MAILBOX);
+        let exchange_descriptors = conf.exchange.as_ref().map_or(0, exchange::descriptors);
         // The management address uses one descriptor for the listener and one for each open call.
-        let calls = config.management.map_or(0, |_| crate::management::MOST_CALLS + 1);
+        let management_descriptors = config.management.map_or(0, |_| crate::management::MAX_CALLS + 1);
         let board = Rc::new(Board::default());
-        let agrees = conf.agreement.as_ref().map_or(0, agreement::descriptors);
-        let relays = conf.relay.as_ref().map_or(0, distribution::descriptors);
-        let others = OTHER_DESCRIPTORS + exchanges + agrees + relays + calls;
-        let peers = config.sockets.saturating_sub(most_clients(config.sockets) + others);
-        if conf.relay.is_some() && peers < LEAST_FOR_PEERS {
-            let lacks = format!(
-                "limits.sockets: {} leaves {peers} file descriptors for caches, too few; relay-children uses {relays}",
+        let agreement_descriptors = conf.agreement.as_ref().map_or(0, agreement::descriptors);
+        let relay_descriptors = conf.relay.as_ref().map_or(0, distribution::descriptors);
+        let other_descriptors = OTHER_DESCRIPTORS
+            + exchange_descriptors
+            + agreement_descriptors
+            + relay_descriptors
+            + management_descriptors;
+        let peer_descriptors =
+            config.sockets.saturating_sub(most_clients(config.sockets) + other_descriptors);
+        if conf.relay.is_some() && peer_descriptors < MIN_PEER_DESCRIPTORS {
+            let problem = format!(
+                "limits.sockets: {} leaves {peer_descriptors} file descriptors for caches, too few; relay-children uses {relay_descriptors}",
                 config.sockets
             );
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, lacks));
+            return Err(io::Error::new(io::ErrorKind::InvalidInput, problem));
         }
-        let descriptors = Descriptors::new(peers);
+        let descriptors = Descriptors::new(peer_descriptors);
         let shared = Rc::new(Shared {
             catalogue: catalogue.clone(),
             board: board.clone(),
@@ -106,54 +122,63 @@
             director: mailbox.clone(),
             tasks: tasks.clone(),
         });
-        let owed = Rc::new(Owed::default());
-        let copies = Copies::new((config.memory / COPIES_PART).min(MOST_COPIES), config.flow, config.link);
-        let on = conf.exchange.is_some() || conf.snapshot.is_some();
-        let knowledge = on.then(|| Knowledge::new(&config.name, conf.half_lives, &catalogue.settings));
-        let who = knowledge.as_ref().map(|k| (k.me, k.steady));
-        let mut director = Director::new(config.seed, shared, owed.clone(), copies).with_knowledge(knowledge);
-        let (last, known) = config.known;
-        let cleared = catalogue.settings.purge_done + catalogue.settings.purge_grace;
-        let of_relays = conf.relay.as_ref().map(|_| known.clone());
+        let open_requests = Rc::new(Owed::default());
+        let copies = Copies::new(
+            (config.memory / COPIES_MEMORY_DIVISOR).min(MAX_COPIES_BYTES),
+            config.flow_bytes_per_s,
+            config.link_bytes_per_s,
+        );
+        let uses_knowledge = conf.exchange.is_some() || conf.snapshot.is_some();
+        let knowledge =
+            uses_knowledge.then(|| Knowledge::new(&config.name, conf.half_lives, &catalogue.settings));
+        let identity = knowledge.as_ref().map(|k| (k.me, k.steady));
+        let mut director =
+            Director::new(config.seed, shared, open_requests.clone(), copies).with_knowledge(knowledge);
+        let (last_event, known) = config.known;
+        let purge_cleared_after = catalogue.settings.purge_done + catalogue.settings.purge_grace;
+        let known_for_relay = conf.relay.as_ref().map(|_| known.clone());
         known.into_iter().for_each(|event| director.news(event.news, ListKind::Cached));
-        if let Some((snapshot, (me, _))) = conf.snapshot.clone().zip(who) {
-            let file = snapshots::path(&snapshot.directory, me.instance);
-            match snapshots::read(&file, me.instance, snapshot.most) {
+        if let Some((snapshot, (me, _))) = conf.snapshot.clone().zip(identity) {
+            let path = snapshots::path(&snapshot.directory, me.instance);
+            match snapshots::read(&path, me.instance, snapshot.most) {
                 Ok(None) => tracing::info!("no snapshot found"),
-                Ok(Some((away, items))) => {
-                    tracing::info!("snapshot loaded: {} items, {} ms old", items.len(), away / 1000);
-                    director.learn(away, items);
+                Ok(Some((age, items))) => {
+                    tracing::info!("snapshot loaded: {} items, {} ms old", items.len(), age / 1000);
+                    director.learn(age, items);
                 }
                 Err(e) => tracing::warn!("{e}; starting without the snapshot"),
             }
             tasks.spawn(snapshots::run(snapshot, me.instance, mailbox.clone())).detach();
         }
         let mut hub = None;
-        if let Some((terms, (me, steady))) = conf.exchange.clone().zip(who) {
-            let listen = terms.listen.map(exchange_listener).transpose()?;
-            let own = Hub::new(me, steady, terms, mailbox.clone()).map_err(io::Error::other)?;
+        if let Some((terms, (me, steady))) = conf.exchange.clone().zip(identity) {
+            let listen = terms.listen.map(bind_exchange).transpose()?;
+            let new_hub = Hub::new(me, steady, terms, mailbox.clone()).map_err(io::Error::other)?;
             if let Some(listen) = listen {
-                let (own, all) = (own.clone(), tasks.clone());
-                tasks.spawn(async move { own.give(listen.await, all).await }).detach();
+                let (new_hub, executor) = (new_hub.clone(), tasks.clone());
+                tasks.spawn(async move { new_hub.give(listen.await, executor).await }).detach();
             }
-            tasks.spawn(own.clone().ask(tasks.clone())).detach();
-            tasks.spawn(own.clone().watch()).detach();
-            hub = Some(own);
+            tasks.spawn(new_hub.clone().ask(tasks.clone())).detach();
+            tasks.spawn(new_hub.clone().watch()).detach();
+            hub = Some(new_hub);
         }
-        let longest = catalogue.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let drain = Rc::new(RefCell::new(Drain::new().with_longest(longest)));
+        let longest_deadline = catalogue.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let drain = Rc::new(RefCell::new(Drain::new().with_longest(longest_deadline)));
         let front =
             Front::new(catalogue.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
         director.count_in(front.counters());
-        let agreed: Rc<RefCell<Option<agreement::Handle>>> = Rc::default();
+        let agreement_handle: Rc<RefCell<Option<agreement::Handle>>> = Rc::default();
         if let Some(terms) = conf.agreement.clone() {
-            if let Some(lacks) = agreement::lacks(&conf, &config.name) {
-                return Err(io::Error::new(io::ErrorKind::InvalidInput, format!("operators' file: {lacks}")));
+            if let Some(problem) = agreement::lacks(&conf, &config.name) {
+                return Err(io::Error::new(
+                    io::ErrorKind::InvalidInput,
+                    format!("operators' file: {problem}"),
+                ));
             }
             let instance = InstanceId::of(&config.name);
-            let me = who.map_or(Source { instance, incarnation: clock::now() }, |(me, _)| me);
-            let tls = keys_of(hub.as_deref(), &terms.files)?;
-            let (owed, own) = (owed.clone(), front.clone());
+            let me = identity.map_or(Source { instance, incarnation: clock::now() }, |(me, _)| me);
+            let tls = tls_keys(hub.as_deref(), &terms.files)?;
+            let (open_requests, own_front) = (open_requests.clone(), front.clone());
             let yard = agreement::Yard {
                 board: board.clone(),
                 director: mailbox.clone(),
@@ -161,7 +186,7 @@
                 classes: catalogue.classes.clone(),
                 drain: drain.clone(),
                 nudge: front.nudger(),
-                owes: Rc::new(move || owed.get() > 0 || !own.flushed()),
+                owes: Rc::new(move || open_requests.get() > 0 || !own_front.flushed()),
             };
             if terms.work.is_some() {
                 board.wait_for_orders();
@@ -171,57 +196,73 @@
                 board.wait();
                 drain.borrow_mut().alone(true);
             }
-            let (hub, board, all) = (hub.clone(), board.clone(), agreed.clone());
-            let ready = move |handle: agreement::Handle| {
+            let (hub, board, current) = (hub.clone(), board.clone(), agreement_handle.clone());
+            let on_ready = move |handle: agreement::Handle| {
                 board.agree(Rc::new(handle.clone()));
-                *all.borrow_mut() = Some(handle);
+                *current.borrow_mut() = Some(handle);
                 if let Some(hub) = &hub {
-                    hub.agree(Rc::new(agreement::links::Current(all.clone())));
+                    hub.agree(Rc::new(agreement::links::Current(current.clone())));
                 }
             };
             let connector = Connector { me, tls };
-            let part =
-                agreement::take_part(terms, me, config.name.clone(), connector, tasks.clone(), yard, ready);
-            tasks.spawn(part).detach();
+            let participation = agreement::take_part(
+                terms,
+                me,
+                config.name.clone(),
+                connector,
+                tasks.clone(),
+                yard,
+                on_ready,
+            );
+            tasks.spawn(participation).detach();
         }
-        tasks.spawn(director.run(news, messages)).detach();
-        let (moves, moved) = async_channel::bounded(MOVES);
-        match conf.relay.clone().zip(of_relays) {
+        tasks.spawn(director.run(notices, mailbox_receiver)).detach();
+        let (coordinator_moves, new_addresses) = async_channel::bounded(COORDINATOR_MOVES_CAPACITY);
+        match conf.relay.clone().zip(known_for_relay) {
             None => {
-                let coordinator =
-                    Coordinator { address: config.coordinator, last, news: tell, moves: moved, gap: None };
+                let coordinator = Coordinator {
+                    address: config.coordinator,
+                    last: last_event,
+                    news: notice_sender,
+                    moves: new_addresses,
+                    gap: None,
+                };
                 tasks.spawn(coordinator.run()).detach();
             }
             Some((terms, known)) => {
                 let instance = InstanceId::of(&config.name);
-                let me = who.map_or(Source { instance, incarnation: clock::now() }, |(me, _)| me);
-                let around = distribution::Surroundings {
+                let me = identity.map_or(Source { instance, incarnation: clock::now() }, |(me, _)| me);
+                let surroundings = distribution::Surroundings {
                     me,
                     name: config.name.clone(),
-                    connector: Connector { me, tls: keys_of(hub.as_deref(), &terms.files)? },
+                    connector: Connector { me, tls: tls_keys(hub.as_deref(), &terms.files)? },
                     tasks: tasks.clone(),
                     board: board.clone(),
-                    cleared,
-                    notices: tell,
+                    cleared: purge_cleared_after,
+                    notices: notice_sender,
                     coordinator: config.coordinator,
-                    moves: moved,
-                    applied: last,
+                    moves: new_addresses,
+                    applied: last_event,
                     known,
                 };
-                let service = distribution::start(terms, around).map_err(io::Error::other)?;
+                let service = distribution::start(terms, surroundings).map_err(io::Error::other)?;
                 if let Some((hub, service)) = hub.as_ref().zip(service) {
                     hub.distribute(service);
                 }
             }
         }
-        let to_director = mailbox.clone();
-        let beside = std::env::var_os("TMPDIR")
-            .and_then(|directory| Beside::enter(std::path::Path::new(&directory), address, Stamp::now()))
+        let director_mailbox = mailbox.clone();
+        let process_file = std::env::var_os("TMPDIR")
+            .and_then(|directory| {
+                ProcessFile::register(std::path::Path::new(&directory), address, Stamp::now())
+            })
             .map(Rc::new);
-        if let Some(beside) = beside.clone().filter(|beside| beside.elders().is_some()) {
+        if let Some(process_file) =
+            process_file.clone().filter(|process_file| process_file.older_usage().is_some())
+        {
             let limits = (config.sockets, config.memory);
-            let own = (descriptors, front.clone(), mailbox.clone());
-            tasks.spawn(share(beside, limits, own)).detach();
+            let limited = (descriptors, front.clone(), mailbox.clone());
+            tasks.spawn(share_limits(process_file, limits, limited)).detach();
         }
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
         tasks.spawn(front.clone().sweep()).detach();
@@ -232,19 +273,19 @@
                 .detach();
         }
         drain.borrow_mut().started();
-        tracing::info!(event = last, "{} serves on {address}", config.name);
+        tracing::info!(event = last_event, "{} serves on {address}", config.name);
         Ok(Self {
             address,
-            moves,
-            coordinator: Cell::new(config.coordinator),
+            coordinator_moves,
+            coordinator_address: Cell::new(config.coordinator),
             front,
             drain,
-            beside,
-            owed,
+            process_file,
+            open_requests,
             conf: RefCell::new(conf),
             hub,
-            director: to_director,
-            agreed,
+            director: director_mailbox,
+            agreement_handle,
             name: config.name,
         })
     }
@@ -254,9 +295,9 @@
         self.front.held().0
     }
 
-    /// Applies both configurations after a reload. Of the platform's configuration only the coordinator's address is
-    /// applied; the rest stays until a restart. Changes to the operators' file that need a restart are logged. A faulty
-    /// configuration changes nothing.
+    /// Applies both configurations after a reload. Of the platform's configuration only the coordinator's
+    /// address is applied; the rest stays until a restart. Changes to the operators' file that need a restart
+    /// are logged. A faulty configuration changes nothing.
     pub async fn reload(&self, config: Result<Config, String>, conf: Result<Conf, Vec<String>>) {
         match conf {
             Ok(conf) => {
@@ -266,8 +307,8 @@
                 if let (Some(hub), Some(exchange)) = (&self.hub, &conf.exchange) {
                     hub.reload(exchange);
                 }
-                let agreed = self.agreed.borrow().clone();
-                let half_lives = agreed.map_or(conf.half_lives, |agreed| agreed.half_lives(conf.half_lives));
+                let handle = self.agreement_handle.borrow().clone();
+                let half_lives = handle.map_or(conf.half_lives, |handle| handle.half_lives(conf.half_lives));
                 let _ = self.director.send(Message::HalfLives(half_lives)).await;
                 *self.conf.borrow_mut() = conf;
             }
@@ -277,90 +318,91 @@
             }
         }
         match config {
-            Ok(config) if config.coordinator != self.coordinator.get() => {
-                self.coordinator.set(config.coordinator);
-                let _ = self.moves.send(config.coordinator).await;
+            Ok(config) if config.coordinator != self.coordinator_address.get() => {
+                self.coordinator_address.set(config.coordinator);
+                let _ = self.coordinator_moves.send(config.coordinator).await;
             }
             Ok(_) => tracing::info!("configuration read anew, coordinator as before"),
             Err(e) => tracing::warn!("{e}; the old configuration is kept"),
         }
     }
 
-    /// Shuts down: reports not ready, keeps serving the clients that still connect, and returns once every request has
-    /// its answer.
+    /// Shuts down: reports not ready, keeps serving the clients that still connect, and returns once every
+    /// request has its answer.
     pub async fn end(&self) {
         self.drain.borrow_mut().end(clock::now());
         let _ = self.front.nudger().try_send(());
-        if self.beside.as_ref().is_some_and(|beside| beside.succeeded()) {
+        if self.process_file.as_ref().is_some_and(|process_file| process_file.has_successor()) {
             tracing::info!("a younger process serves on {}: it takes the new connections", self.address);
             self.front.stop_accepting();
         }
-        let mut said = clock::now();
-        // The listener is closed once no new clients are expected; connections in its queue are accepted, read and
-        // answered first.
-        let nobody = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::LINGER);
-        while !self.drain.borrow().may_exit(clock::now(), self.owed.get(), self.front.settled()) {
-            if clock::now() >= nobody {
+        let mut last_log = clock::now();
+        // The listener is closed once no new clients are expected; connections in its queue are accepted,
+        // read and answered first.
+        let accept_until = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::LINGER);
+        while !self.drain.borrow().may_exit(clock::now(), self.open_requests.get(), self.front.settled()) {
+            if clock::now() >= accept_until {
                 self.front.stop_accepting();
             }
-            if clock::now() >= said + SAY_EVERY {
-                said = clock::now();
+            if clock::now() >= last_log + SHUTDOWN_LOG_INTERVAL {
+                last_log = clock::now();
                 let (connections, open) = self.front.held();
                 tracing::info!(
                     "ending: {} owed, {connections} clients' connections with {open} open",
-                    self.owed.get()
+                    self.open_requests.get()
                 );
             }
-            Timer::after(LOOK_AGAIN).await;
+            Timer::after(SHUTDOWN_POLL_INTERVAL).await;
         }
         tracing::info!("since the start: {}", self.front.counters());
-        // Leave the roll only after the last answer: other routers wait for the requests of every router on the roll.
-        let handle = self.agreed.borrow().clone();
+        // Leave the roll only after the last answer: other routers wait for the requests of every router on
+        // the roll.
+        let handle = self.agreement_handle.borrow().clone();
         if let Some(handle) = handle {
-            let late = async {
-                Timer::after(LEAVE).await;
+            let timed_out = async {
+                Timer::after(LEAVE_TIMEOUT).await;
             };
-            future::or(agreement::leave(handle, self.name.clone()), late).await;
+            future::or(agreement::leave(handle, self.name.clone()), timed_out).await;
         }
     }
 }
 
-/// Returns the TLS keys for connections to other routers: those of the exchange where it is on, as it reloads them on
-/// SIGHUP, otherwise those read from `files`.
-fn keys_of(hub: Option<&Hub>, files: &Files) -> io::Result<Rc<RefCell<Tls>>> {
+/// Returns the TLS keys for connections to other routers: those of the exchange where it is on, as it reloads
+/// them on SIGHUP, otherwise those read from `files`.
+fn tls_keys(hub: Option<&Hub>, files: &Files) -> io::Result<Rc<RefCell<Tls>>> {
     match hub {
         Some(hub) => Ok(hub.tls.clone()),
         None => Ok(Rc::new(RefCell::new(Tls::read(files).map_err(io::Error::other)?))),
     }
 }
 
-/// Lowers the limits of this process while an older process serves on the same address, so that both together stay
-/// within one limit: this process may use what the older one leaves.
-async fn share(
-    beside: Rc<Beside>,
+/// Lowers the limits of this process while an older process serves on the same address, so that both together
+/// stay within one limit: this process may use what the older one leaves.
+async fn share_limits(
+    process_file: Rc<ProcessFile>,
     (sockets, memory): (usize, usize),
     (descriptors, front, director): (Rc<Descriptors>, Rc<Front>, Sender<Message>),
 ) {
-    let all = descriptors.all();
+    let all_descriptors = descriptors.all();
     let keep_to = |sockets_left: usize, memory_left: usize| {
-        // Clients move from one process to the other, and both together use the third reserved for clients. The
-        // reduction therefore applies to the peers' descriptors.
-        descriptors.keep_to(all.saturating_sub(sockets - sockets_left).max(all / 4));
+        // Clients move from one process to the other, and both together use the third reserved for clients.
+        // The reduction therefore applies to the peers' descriptors.
+        descriptors.keep_to(all_descriptors.saturating_sub(sockets - sockets_left).max(all_descriptors / 4));
         front.keep_to(memory_left);
-        let _ = director.try_send(Message::Room((memory_left / COPIES_PART).min(MOST_COPIES)));
+        let _ = director.try_send(Message::Room((memory_left / COPIES_MEMORY_DIVISOR).min(MAX_COPIES_BYTES)));
     };
     tracing::info!("an older process serves beside this one: both keep to one limit");
-    while let Some((held, bytes)) = beside.elders() {
-        keep_to(part(sockets, held), part(memory, bytes));
-        Timer::after(LOOK_BESIDE).await;
+    while let Some((used_descriptors, used_memory)) = process_file.older_usage() {
+        keep_to(remaining_limit(sockets, used_descriptors), remaining_limit(memory, used_memory));
+        Timer::after(OLDER_PROCESS_POLL_INTERVAL).await;
     }
     keep_to(sockets, memory);
     tracing::info!("the older process has ended: the limits are this one's");
 }
 
-/// Binds the exchange's listener. During an upgrade the older process may still hold the address; the returned future
-/// then retries until the address is free, while this process serves already.
-fn exchange_listener(address: SocketAddr) -> io::Result<impl Future<Output = Async<TcpListener>>> {
+/// Binds the exchange's listener. During an upgrade the older process may still hold the address; the
+/// returned future then retries until the address is free, while this process serves already.
+fn bind_exchange(address: SocketAddr) -> io::Result<impl Future<Output = Async<TcpListener>>> {
     let first = match Async::<TcpListener>::bind(address) {
         Ok(listener) => Some(listener),
         Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
@@ -371,18 +413,18 @@
         }
         Err(e) => return Err(e),
     };
-    let mut said = None;
+    let mut last_log = None;
     Ok(async move {
         let listener = match first {
             Some(listener) => listener,
             None => loop {
-                if said.is_none_or(|at| clock::now() >= at + SAY_TAKEN) {
-                    said = Some(clock::now());
+                if last_log.is_none_or(|at| clock::now() >= at + EXCHANGE_BIND_LOG_INTERVAL) {
+                    last_log = Some(clock::now());
                     tracing::warn!(
                         "exchange-listen {address}: taken, by an older process or another program; waiting for it"
                     );
                 }
-                Timer::after(TAKEN_AGAIN).await;
+                Timer::after(EXCHANGE_BIND_RETRY_DELAY).await;
                 if let Ok(listener) = Async::<TcpListener>::bind(address) {
                     break listener;
                 }
@@ -393,9 +435,9 @@
     })
 }
 
-/// Binds the clients' address with SO_REUSEPORT, so that a newer process can bind it too during an upgrade: both accept
-/// connections while they overlap, and no connection is refused.
-fn shared_listener(address: SocketAddr) -> io::Result<TcpListener> {
+/// Binds the clients' address with SO_REUSEPORT, so that a newer process can bind it too during an upgrade:
+/// both accept connections while they overlap, and no connection is refused.
+fn bind_shared(address: SocketAddr) -> io::Result<TcpListener> {
     use socket2::{Domain, Protocol, Socket, Type};
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -406,35 +448,35 @@
 }
 
 /// Result of reloading the platform's configuration and the operators' file.
-pub type Anew = (Result<Config, String>, Result<Conf, Vec<String>>);
+pub type Reloaded = (Result<Config, String>, Result<Conf, Vec<String>>);
 
-/// Runs a router until SIGTERM or SIGINT, answers the requests that are still open and returns. On SIGHUP both
-/// configurations are read again with `again`.
-pub fn serve(config: Config, conf: Conf, again: impl Fn() -> Anew) -> io::Result<()> {
+/// Runs a router until SIGTERM or SIGINT, answers the requests that are still open and returns. On SIGHUP
+/// both configurations are read again with `read_again`.
+pub fn serve(config: Config, conf: Conf, read_again: impl Fn() -> Reloaded) -> io::Result<()> {
     let signals = Signals::new()?;
     let tasks = Rc::new(LocalExecutor::new());
     let router = Router::start(config, conf, &tasks)?;
     let run = async {
         loop {
             if !signals.next().await {
-                tracing::info!("ending on a signal: {} requests open", router.owed.get());
+                tracing::info!("ending on a signal: {} requests open", router.open_requests.get());
                 break;
             }
-            let (config, conf) = again();
+            let (config, conf) = read_again();
             router.reload(config, conf).await;
         }
         router.end().await;
-        tracing::info!("ended: all is answered; {} invariants broken", invariant::broken());
+        tracing::info!("ended: all is answered; {} invariants broken", invariant::violations());
     };
     async_io::block_on(tasks.run(run));
     Ok(())
 }
 
-/// Receives signals as bytes on two pipes, one for SIGTERM and SIGINT, the other for SIGHUP. These are pipes and not
-/// socket pairs because the fleet's platform has no Unix sockets.
+/// Receives signals as bytes on two pipes, one for SIGTERM and SIGINT, the other for SIGHUP. These are pipes
+/// and not socket pairs because the fleet's platform has no Unix sockets.
 struct Signals {
-    end: Async<std::io::PipeReader>,
-    hup: Async<std::io::PipeReader>,
+    terminate: Async<std::io::PipeReader>,
+    hangup: Async<std::io::PipeReader>,
 }
 
 impl Signals {
@@ -442,31 +484,31 @@
         use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
         use signal_hook::low_level::pipe::register;
         // A signal handler must never block on a full pipe, so the write ends are non-blocking as well.
-        let writer = |w: std::io::PipeWriter| Async::new(w)?.into_inner();
-        let (end, end_writer) = std::io::pipe()?;
-        let end_writer = writer(end_writer)?;
-        register(SIGTERM, end_writer.try_clone()?)?;
-        register(SIGINT, end_writer)?;
-        let (hup, hup_writer) = std::io::pipe()?;
-        register(SIGHUP, writer(hup_writer)?)?;
-        Ok(Self { end: Async::new(end)?, hup: Async::new(hup)? })
+        let nonblocking = |w: std::io::PipeWriter| Async::new(w)?.into_inner();
+        let (terminate, terminate_writer) = std::io::pipe()?;
+        let terminate_writer = nonblocking(terminate_writer)?;
+        register(SIGTERM, terminate_writer.try_clone()?)?;
+        register(SIGINT, terminate_writer)?;
+        let (hangup, hangup_writer) = std::io::pipe()?;
+        register(SIGHUP, nonblocking(hangup_writer)?)?;
+        Ok(Self { terminate: Async::new(terminate)?, hangup: Async::new(hangup)? })
     }
 
-    /// Waits for the next signal: false for SIGTERM or SIGINT, true for SIGHUP. SIGHUPs that arrive together count as
-    /// one.
+    /// Waits for the next signal: false for SIGTERM or SIGINT, true for SIGHUP. SIGHUPs that arrive together
+    /// count as one.
     async fn next(&self) -> bool {
         future::or(
             async {
-                let _ = drained(&self.end).await;
+                let _ = read_signals(&self.terminate).await;
                 false
             },
-            async { drained(&self.hup).await.is_ok() },
+            async { read_signals(&self.hangup).await.is_ok() },
         )
         .await
     }
 }
 
 /// Waits for signals on a pipe and reads the bytes that they wrote.
-async fn drained(pipe: &Async<std::io::PipeReader>) -> io::Result<usize> {
+async fn read_signals(pipe: &Async<std::io::PipeReader>) -> io::Result<usize> {
     pipe.read_with(|mut reader| std::io::Read::read(&mut reader, &mut [0u8; 64])).await
 }
--- a/silverspindle/src/trials.rs
+++ b/silverspindle/src/trials.rs
@@ -10,25 +10,26 @@
 /// Microseconds in a millisecond.
 const MS: u64 = 1000;
 /// Default lease of the agreement (its stated time), in milliseconds.
-const AGREE_WITHIN_MS: u64 = 2000;
+const AGREE_LEASE_MS: u64 = 2000;
 /// Default lease of the purge log, in milliseconds.
-const PURGES_WITHIN_MS: u64 = 3000;
+const PURGES_LEASE_MS: u64 = 3000;
 /// Interval of the batches of the purge log in a trial, in milliseconds.
-const BATCH_MS: u64 = 200;
-/// Default lease of hollow routers, in milliseconds. This and the next three are the defaults of the operators' file.
-const HOLLOW_WITHIN_MS: u64 = 5000;
+const PURGES_BATCH_MS: u64 = 200;
+/// Default lease of hollow routers, in milliseconds. This and the next three are the defaults of the
+/// operators' file.
+const HOLLOW_LEASE_MS: u64 = 5000;
 /// Lease of a hollow router that follows the coordinator directly, in milliseconds.
-const HOLLOW_DIRECT_MS: u64 = 3000;
+const HOLLOW_DIRECT_LEASE_MS: u64 = 3000;
 /// Minimum interval between the batches sent to hollow routers, in milliseconds.
 const HOLLOW_BATCH_MS: u64 = 500;
 /// Interval of the reports of a hollow router, in milliseconds.
 const HOLLOW_REPORT_MS: u64 = 1000;
 /// Purges per second of the whole fleet at the target size.
-const HOLLOW_PURGES: u64 = 110;
+const HOLLOW_PURGES_PER_S: u64 = 110;
 
 /// Arguments of `silverspindle try`.
 #[derive(clap::Args)]
-pub struct Line {
+pub struct TryArgs {
     /// Duration of the traffic in seconds
     #[arg(long, default_value_t = 10)]
     seconds: u64,
@@ -50,10 +51,12 @@
     /// Where the restarted router gets its knowledge from
     #[arg(long, value_enum, default_value_t = Inherit::No)]
     inherit: Inherit,
-    /// During the traffic, drain a box, slow down the head office, restart a box, purge a group and stall a box
+    /// During the traffic, drain a box, slow down the head office, restart a box, purge a group and stall a
+    /// box
     #[arg(long)]
     rough: bool,
-    /// Signals, drains, upgrades, kills, clock steps and faulty caches chosen by the seed, checked against the protocol's rules
+    /// Signals, drains, upgrades, kills, clock steps and faulty caches chosen by the seed, checked against
+    /// the protocol's rules
     #[arg(long, conflicts_with_all = ["agree", "rough", "kill"])]
     soak: bool,
     /// With --soak: run another build of the program instead of this one
@@ -65,7 +68,8 @@
     /// With --agree: number of electors, 1, 3 or 5 (default 3, or 1 with fewer than 3 routers)
     #[arg(long)]
     electors: Option<u8>,
-    /// With --agree or --purges: faults to inject, a file of lines AT LASTS KIND, or 'random' to draw them by the seed
+    /// With --agree or --purges: faults to inject, a file of lines AT LASTS KIND, or 'random' to draw them by
+    /// the seed
     #[arg(long, value_name = "SCRIPT|random")]
     faults: Option<String>,
     /// With --agree: order boxes out of service, work on them and bring them back during the traffic
@@ -74,8 +78,8 @@
     /// With --agree: number of boxes; there are always two parents
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u32).range(1..=40))]
     boxes: u32,
-    /// With --work: work on every box and parent once, by a single order or by hand through the coordinator; without --work,
-    /// 'hand' lets operators change the routers' files one after the other
+    /// With --work: work on every box and parent once, by a single order or by hand through the coordinator;
+    /// without --work, 'hand' lets operators change the routers' files one after the other
     #[arg(long, value_enum)]
     round: Option<Round>,
     /// With --agree: propose versions of the rules during the traffic
@@ -93,7 +97,8 @@
     /// With --agree or --purges: the lease in milliseconds (default 2000, 3000 for purges)
     #[arg(long, value_parser = clap::value_parser!(u64).range(500..=60_000))]
     within_ms: Option<u64>,
-    /// Let the routers receive purges from relays, with proxies between all of them, and check the records that they write
+    /// Let the routers receive purges from relays, with proxies between all of them, and check the records
+    /// that they write
     #[arg(long, conflicts_with = "agree")]
     purges: bool,
     /// With --purges: number of relays, one per zone
@@ -105,8 +110,8 @@
     /// With --purges: purges and list events per second
     #[arg(long, default_value_t = 20.0)]
     events: f64,
-    /// Measure the cost of these numbers of hollow routers, one after the other. A hollow router is the core of the purge
-    /// log with a connection of its own; several share a process, below --relays and --sources
+    /// Measure the cost of these numbers of hollow routers, one after the other. A hollow router is the core
+    /// of the purge log with a connection of its own; several share a process, below --relays and --sources
     #[arg(long, value_delimiter = ',', value_name = "N[,N...]", conflicts_with_all = ["agree", "purges"])]
     hollow: Vec<usize>,
     /// With --hollow: number of routers per process
@@ -149,54 +154,54 @@
 }
 
 /// Runs the trial; on failure returns the lines for standard error.
-pub fn run(line: Line) -> Result<(), Vec<String>> {
-    if line.agree {
-        return agree(line);
+pub fn run(args: TryArgs) -> Result<(), Vec<String>> {
+    if args.agree {
+        return agree(args);
     }
-    if line.purges {
-        return purges(line);
+    if args.purges {
+        return purges(args);
     }
-    if line.soak {
-        return soak(&line);
+    if args.soak {
+        return soak(&args);
     }
-    if !line.hollow.is_empty() {
-        return hollow(&line);
+    if !args.hollow.is_empty() {
+        return hollow(&args);
     }
-    count(line)
+    check_final_answers(args)
 }
 
 /// Returns a single problem as the lines for standard error.
-fn one(problem: String) -> Vec<String> {
+fn problem_lines(problem: String) -> Vec<String> {
     vec![format!("silverspindle: {problem}")]
 }
 
-fn io(error: std::io::Error) -> Vec<String> {
-    one(error.to_string())
+fn io_problem(error: std::io::Error) -> Vec<String> {
+    problem_lines(error.to_string())
 }
 
 /// Runs a trial on an executor of its own.
-fn play<T>(
-    play: impl AsyncFnOnce(&Rc<LocalExecutor<'static>>) -> std::io::Result<T>,
+fn run_on_executor<T>(
+    trial: impl AsyncFnOnce(&Rc<LocalExecutor<'static>>) -> std::io::Result<T>,
 ) -> Result<T, Vec<String>> {
     let tasks = Rc::new(LocalExecutor::new());
-    async_io::block_on(tasks.run(play(&tasks))).map_err(io)
+    async_io::block_on(tasks.run(trial(&tasks))).map_err(io_problem)
 }
 
 /// Runs a soak and prints its report.
-fn soak(line: &Line) -> Result<(), Vec<String>> {
-    let program = match &line.program {
+fn soak(args: &TryArgs) -> Result<(), Vec<String>> {
+    let program = match &args.program {
         Some(program) => program.clone(),
-        None => std::env::current_exe().map_err(io)?,
+        None => std::env::current_exe().map_err(io_problem)?,
     };
-    let (seed, seconds, routers) = (line.seed, line.seconds, usize::from(line.routers));
-    let outcome = soak::run(&soak::Options { program, seed, seconds, routers }).map_err(io)?;
+    let (seed, seconds, routers) = (args.seed, args.seconds, usize::from(args.routers));
+    let outcome = soak::run(&soak::Options { program, seed, seconds, routers }).map_err(io_problem)?;
     print!("{}", outcome.report());
-    kept(outcome.broken.is_empty())
+    check_promises(outcome.broken.is_empty())
 }
 
 /// Fails if a promise of the protocol was broken.
-fn kept(is_good: bool) -> Result<(), Vec<String>> {
-    if is_good { Ok(()) } else { Err(one("a promise was broken".to_owned())) }
+fn check_promises(is_good: bool) -> Result<(), Vec<String>> {
+    if is_good { Ok(()) } else { Err(problem_lines("a promise was broken".to_owned())) }
 }
 
 /// Returns the faults to inject: none, random ones, or those of a script file.
@@ -209,130 +214,132 @@
         None => Ok(vec![]),
         Some("random") => Ok(random()),
         Some(file) => {
-            let text = std::fs::read_to_string(file).map_err(|e| one(format!("{file}: {e}")))?;
-            script(&text).map_err(|e| one(format!("{file}: {e}")))
+            let text = std::fs::read_to_string(file).map_err(|e| problem_lines(format!("{file}: {e}")))?;
+            script(&text).map_err(|e| problem_lines(format!("{file}: {e}")))
         }
     }
 }
 
 /// Runs routers that agree on decisions and prints the report.
-fn agree(line: Line) -> Result<(), Vec<String>> {
-    let Line { seconds, routers, rate, seed, .. } = line;
-    let electors = line.electors.unwrap_or(if routers < 3 { 1 } else { 3 }).min(routers);
+fn agree(args: TryArgs) -> Result<(), Vec<String>> {
+    let TryArgs { seconds, routers, rate, seed, .. } = args;
+    let electors = args.electors.unwrap_or(if routers < 3 { 1 } else { 3 }).min(routers);
     let random = || rig::random(seed, routers, electors, seconds);
     let options = rig::Options {
-        program: std::env::current_exe().map_err(io)?,
+        program: std::env::current_exe().map_err(io_problem)?,
         routers,
         electors,
         seconds,
         seed,
         rate,
-        lease: line.within_ms.unwrap_or(AGREE_WITHIN_MS) * MS,
-        faults: faults(line.faults.as_deref(), random, rig::script)?,
-        work: line.work,
-        boxes: line.boxes,
-        round: line.round.map(|round| match round {
+        lease: args.within_ms.unwrap_or(AGREE_LEASE_MS) * MS,
+        faults: faults(args.faults.as_deref(), random, rig::script)?,
+        work: args.work,
+        boxes: args.boxes,
+        round: args.round.map(|round| match round {
             Round::Order => rig::Round::Order,
             Round::Hand => rig::Round::Hand,
         }),
-        rules: line.rules,
+        rules: args.rules,
         steps: "",
         least: None,
-        work_routers: line.routers_too,
-        hold: line.hold,
-        quiet: line.quiet,
+        work_routers: args.routers_too,
+        hold: args.hold,
+        quiet: args.quiet,
         without: None,
     };
-    let outcome = play(async |tasks| rig::play(tasks, &options).await)?;
+    let outcome = run_on_executor(async |tasks| rig::play(tasks, &options).await)?;
     print!("{}", rig::report(&options, &outcome));
-    kept(outcome.is_good())
+    check_promises(outcome.is_good())
 }
 
 /// Runs routers that receive purges from relays and prints the report.
-fn purges(line: Line) -> Result<(), Vec<String>> {
-    let Line { seconds, seed, .. } = line;
+fn purges(args: TryArgs) -> Result<(), Vec<String>> {
+    let TryArgs { seconds, seed, .. } = args;
     let tree =
-        Tree { sources: line.sources.into(), relays: line.relays.into(), routers: line.routers.into() };
+        Tree { sources: args.sources.into(), relays: args.relays.into(), routers: args.routers.into() };
     let random = || purges::random(seed, &tree, seconds);
-    let lease = line.within_ms.unwrap_or(PURGES_WITHIN_MS) * MS;
+    let lease = args.within_ms.unwrap_or(PURGES_LEASE_MS) * MS;
     let options = purges::Options {
-        program: std::env::current_exe().map_err(io)?,
+        program: std::env::current_exe().map_err(io_problem)?,
         tree,
         seconds,
         seed,
-        rate: line.rate,
-        events: line.events,
+        rate: args.rate,
+        events: args.events,
         lease,
         direct: lease * 2 / 3,
-        batch: BATCH_MS * MS,
+        batch: PURGES_BATCH_MS * MS,
         report: lease / 6,
-        children: Some(4 * usize::from(line.routers)),
-        faults: faults(line.faults.as_deref(), random, |text| purges::script(text, &tree))?,
+        children: Some(4 * usize::from(args.routers)),
+        faults: faults(args.faults.as_deref(), random, |text| purges::script(text, &tree))?,
         without: None,
     };
-    let outcome = play(async |tasks| purges::play(tasks, &options).await)?;
+    let outcome = run_on_executor(async |tasks| purges::play(tasks, &options).await)?;
     print!("{}", purges::report(&options, &outcome));
-    kept(outcome.is_good())
+    check_promises(outcome.is_good())
 }
 
 /// Measures and prints each size of hollow routers; stops at the first size that fails.
-fn hollow(line: &Line) -> Result<(), Vec<String>> {
+fn hollow(args: &TryArgs) -> Result<(), Vec<String>> {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let command = format!("silverspindle {}", words.join(" "));
-    for routers in &line.hollow {
+    for routers in &args.hollow {
         let options = hollow::Options {
-            program: std::env::current_exe().map_err(io)?,
+            program: std::env::current_exe().map_err(io_problem)?,
             routers: *routers,
-            per_process: line.per_process.into(),
-            sources: line.sources.into(),
-            relays: line.relays.into(),
-            seconds: line.seconds,
-            seed: line.seed,
-            purges: HOLLOW_PURGES,
-            lease: line.within_ms.unwrap_or(HOLLOW_WITHIN_MS) * MS,
-            direct: HOLLOW_DIRECT_MS * MS,
+            per_process: args.per_process.into(),
+            sources: args.sources.into(),
+            relays: args.relays.into(),
+            seconds: args.seconds,
+            seed: args.seed,
+            purges: HOLLOW_PURGES_PER_S,
+            lease: args.within_ms.unwrap_or(HOLLOW_LEASE_MS) * MS,
+            direct: HOLLOW_DIRECT_LEASE_MS * MS,
             batch: HOLLOW_BATCH_MS * MS,
             report: HOLLOW_REPORT_MS * MS,
         };
-        let row = play(async |tasks| hollow::measure(tasks, &options).await)?;
-        match line.json {
+        let row = run_on_executor(async |tasks| hollow::measure(tasks, &options).await)?;
+        match args.json {
             true => println!("{}", row.json(&command)),
             false => print!("{}", row.text()),
         }
         if !row.is_whole() {
             let why = "a purge did not reach all routers, or a router had no parent at the end";
-            return Err(one(format!("{routers} hollow routers: {why}")));
+            return Err(problem_lines(format!("{routers} hollow routers: {why}")));
         }
     }
     Ok(())
 }
 
 /// Runs a trial that checks that every item gets exactly one final answer.
-fn count(line: Line) -> Result<(), Vec<String>> {
-    let Line { seconds, routers, rate, seed, .. } = line;
-    let inherit = match line.inherit {
+fn check_final_answers(args: TryArgs) -> Result<(), Vec<String>> {
+    let TryArgs { seconds, routers, rate, seed, .. } = args;
+    let inherit = match args.inherit {
         Inherit::No => trial::Inherit::No,
         Inherit::Exchange => trial::Inherit::Exchange,
         Inherit::Snapshot => trial::Inherit::Snapshot,
     };
-    let mut script = if line.rough { trial::rough(seconds) } else { Vec::new() };
-    if let Some(at) = line.kill {
-        let trouble = match line.trouble {
+    let mut script = if args.rough { trial::rough(seconds) } else { Vec::new() };
+    if let Some(at) = args.kill {
+        let trouble = match args.trouble {
             Trouble::None => None,
             Trouble::Stall => Some((3, trial::Fault::Stall)),
             Trouble::Office => Some((trial::HEAD, trial::Fault::Slow(4.0))),
         };
         let before = at.saturating_sub(5) * SECOND;
-        script.extend(trouble.map(|(whom, what)| (before, trial::Act::Fault(whom, Some(what)))));
+        script.extend(trouble.map(|(member, fault)| (before, trial::Act::Fault(member, Some(fault)))));
         script.push((at * SECOND, trial::Act::Kill));
     }
     script.sort_by_key(|(at, _)| *at);
-    let program = std::env::current_exe().map_err(io)?;
+    let program = std::env::current_exe().map_err(io_problem)?;
     let options = trial::Options { program, seconds, seed, routers, rate, inherit, script };
-    let outcome = play(async |tasks| trial::trial(tasks, &options).await)?;
+    let outcome = run_on_executor(async |tasks| trial::trial(tasks, &options).await)?;
     print!("{}", trial::report(&outcome));
     match outcome.is_good() {
         true => Ok(()),
-        false => Err(one("an item did not get exactly one final answer, or a rule was broken".to_owned())),
+        false => Err(problem_lines(
+            "an item did not get exactly one final answer, or a rule was broken".to_owned(),
+        )),
     }
 }
--- a/silverspindle/tests/cli.rs
+++ b/silverspindle/tests/cli.rs
@@ -40,12 +40,12 @@
     let file = path.to_str().unwrap();
     std::fs::write(&path, "snapshot-directory /d\nsnapshot-every never\nsnapshot-siez 1MB\n").unwrap();
     let checked = run(&["check-conf", file], None);
-    let said = String::from_utf8_lossy(&checked.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&checked.stderr).into_owned();
     let expected = format!(
         "{file}:2: snapshot-every: \"never\" is no duration, as in 200ms or 5s\n\
          {file}:3: snapshot-siez: is no directive; did you mean snapshot-size?\n"
     );
-    assert_eq!((checked.status.code(), said.as_str()), (Some(1), expected.as_str()));
+    assert_eq!((checked.status.code(), stderr.as_str()), (Some(1), expected.as_str()));
     let (_coordinator, address) = common::listen();
     let config = common::configuration(&[common::entry(1, "box", address)], address).to_string();
     let served = run(&["serve", "--conf", file], Some(&config));
@@ -82,17 +82,17 @@
     assert!(child.wait().unwrap().success());
 }
 
-/// Runs `silverspindle try`, a router between stand-ins: every item gets exactly one final answer through a drain, a
-/// slow head office, a cold box, a purge, a stalled box and a kill of the router.
+/// Runs `silverspindle try`, a router between stand-ins: every item gets exactly one final answer through a
+/// drain, a slow head office, a cold box, a purge, a stalled box and a kill of the router.
 #[test]
 fn in_a_trial_every_item_gets_exactly_one_final_answer() {
     let out = run(
         &["try", "--seconds", "4", "--rate", "60", "--rough", "--kill", "2", "--inherit", "snapshot"],
         None,
     );
-    let said = String::from_utf8_lossy(&out.stdout).into_owned();
-    assert!(out.status.success(), "{said}{}", String::from_utf8_lossy(&out.stderr));
-    assert!(said.contains("every item has its one final answer"), "{said}");
+    let stdout = String::from_utf8_lossy(&out.stdout).into_owned();
+    assert!(out.status.success(), "{stdout}{}", String::from_utf8_lossy(&out.stderr));
+    assert!(stdout.contains("every item has its one final answer"), "{stdout}");
 }
 
 #[test]
@@ -110,13 +110,14 @@
             [(None, "LB_CONFIG"), (Some("{"), "LB_CONFIG"), (Some(r#"{"name":"n0"}"#), "listen")]
         {
             let out = run(&[command], config);
-            let said = String::from_utf8_lossy(&out.stderr).into_owned();
-            assert!(!out.status.success() && said.contains(&format!("configuration: {key}: ")), "{said}");
+            let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
+            assert!(!out.status.success() && stderr.contains(&format!("configuration: {key}: ")), "{stderr}");
         }
     }
 }
 
-/// Guards against a planned restart that counts as a crash: after SIGTERM the process exits by itself with status 0.
+/// Guards against a planned restart that counts as a crash: after SIGTERM the process exits by itself with
+/// status 0.
 #[test]
 fn the_process_exits_with_0_after_sigterm() {
     let (_coordinator, address) = common::listen();
@@ -139,9 +140,9 @@
     assert!(child.wait().unwrap().success());
 }
 
-/// Guards against an exit on SIGHUP, and against a faulty file that replaces a good configuration. After a good file the
-/// router connects to the coordinator named there and resumes from the last event number; a faulty file is logged with
-/// its key.
+/// Guards against an exit on SIGHUP, and against a faulty file that replaces a good configuration. After a
+/// good file the router connects to the coordinator named there and resumes from the last event number; a
+/// faulty file is logged with its key.
 #[test]
 fn sighup_reloads_the_configuration() {
     let ((_old, first), (new, second)) = (common::listen(), common::listen());
--- a/silverspindle/tests/clock_steps.rs
+++ b/silverspindle/tests/clock_steps.rs
@@ -1,5 +1,5 @@
-//! Steps the wall clock of a running router by seconds and by an hour, forward and back. Deadlines, drains and the shutdown
-//! measure elapsed time and must not be affected.
+//! Steps the wall clock of a running router by seconds and by an hour, forward and back. Deadlines, drains
+//! and the shutdown measure elapsed time and must not be affected.
 
 mod common;
 
@@ -23,7 +23,7 @@
 const WARM_UP: i32 = 4;
 
 /// A router process whose wall clock the test controls, with a client that keeps sending.
-struct Stepped {
+struct SteppedRouter {
     router: Router,
     clock: ClockStep,
     client: Rc<Sender>,
@@ -31,17 +31,21 @@
     _directory: tempfile::TempDir,
 }
 
-impl Stepped {
-    /// Starts the router, a cache behind it and a client with the given habit; returns after [`WARM_UP`] requests.
+impl SteppedRouter {
+    /// Starts the router, a cache behind it and a client with the given habit; returns after [`WARM_UP`]
+    /// requests.
     async fn start(
         tasks: &Tasks,
         habit: Habit,
         cached: Cached,
         edit: impl Fn(&mut serde_json::Value),
     ) -> Self {
-        let (coordinator, nowhere) = listen();
+        let (coordinator, coordinator_address) = listen();
         let cache = serve_from(tasks, cached);
-        let mut file = configuration(&[entry(1, "box", cache), entry(99, "origin", nowhere)], nowhere);
+        let mut file = configuration(
+            &[entry(1, "box", cache), entry(99, "origin", coordinator_address)],
+            coordinator_address,
+        );
         edit(&mut file);
         let directory = tempfile::tempdir().unwrap();
         let clock = ClockStep::new(directory.path()).unwrap();
@@ -60,7 +64,7 @@
     }
 
     /// Waits until the client has sent this number of further requests.
-    async fn more(&self, requests: i32) {
+    async fn send_more(&self, requests: i32) {
         let last = self.client.last.get() + requests;
         while self.client.last.get() < last {
             Timer::after(MS).await;
@@ -76,40 +80,40 @@
     }
 }
 
-/// Guards against deadlines measured by the wall clock: requests to a cache that hangs must get their final answer in time
-/// across a step.
+/// Guards against deadlines measured by the wall clock: requests to a cache that hangs must get their final
+/// answer in time across a step.
 #[test]
 fn requests_are_answered_in_time_across_a_step_of_the_wall_clock() {
     const BUDGET: Duration = Duration::from_millis(900);
     /// A late answer earns nothing; one that is later than this counts as lost.
-    const LOST: Duration = Duration::from_millis(500);
+    const LOST_AFTER: Duration = Duration::from_millis(500);
     under_each_step(|step| {
         run(async |tasks| {
             let habit = Habit { budget: "900", ..USUAL };
-            let stepped = Stepped::start(tasks, habit, Cached::Never, |_| ()).await;
+            let stepped = SteppedRouter::start(tasks, habit, Cached::Never, |_| ()).await;
             stepped.clock.step_to(step).unwrap();
-            stepped.more(12).await;
+            stepped.send_more(12).await;
             let now = Instant::now();
             let answered = stepped.client.answered.borrow();
-            let due = |at: &Instant| now.duration_since(*at) > BUDGET + LOST;
-            for (seq, _) in stepped.client.sent.borrow().iter().filter(|(_, at)| due(at)) {
+            let is_due = |at: &Instant| now.duration_since(*at) > BUDGET + LOST_AFTER;
+            for (seq, _) in stepped.client.sent.borrow().iter().filter(|(_, at)| is_due(at)) {
                 assert_eq!(answered.get(seq), Some(&1), "request {seq}, a step by {step}");
             }
         });
     });
 }
 
-/// Guards against requests that time out early because the wall clock was stepped: an answer that a cache gives within the
-/// client's time must be served.
+/// Guards against requests that time out early because the wall clock was stepped: an answer that a cache
+/// gives within the client's time must be served.
 #[test]
 fn answers_are_served_across_a_step_of_the_wall_clock() {
     under_each_step(|step| {
         run(async |tasks| {
             let habit = Habit { budget: "2500", ..USUAL };
-            let stepped = Stepped::start(tasks, habit, Cached::After(300 * MS, 1000), |_| ()).await;
+            let stepped = SteppedRouter::start(tasks, habit, Cached::After(300 * MS, 1000), |_| ()).await;
             let before = stepped.client.last.get();
             stepped.clock.step_to(step).unwrap();
-            stepped.more(12).await;
+            stepped.send_more(12).await;
             let served = stepped.client.served.borrow();
             for seq in 1..=before + 6 {
                 assert!(served.contains(&seq), "request {seq} of {before} before a step by {step}");
@@ -118,41 +122,52 @@
     });
 }
 
-/// Guards against a drain or a shutdown measured by the wall clock: a step must not make either of them longer.
+/// Guards against a drain or a shutdown measured by the wall clock: a step must not make either of them
+/// longer.
 #[test]
 fn a_drain_and_a_shutdown_take_no_longer_across_a_step_of_the_wall_clock() {
-    const TERM: Duration = Duration::from_secs(4);
+    const DRAIN_LIMIT: Duration = Duration::from_secs(4);
     /// The longest deadline, counted as 3 s, plus the 0.7 s for which clients may still come after SIGTERM.
-    const KILL: Duration = Duration::from_millis(3700);
+    const KILL_DELAY: Duration = Duration::from_millis(3700);
     under_each_step(|step| {
         run(async |tasks| {
-            let mut stepped = Stepped::start(tasks, USUAL, Cached::After(700 * MS, 1000), |_| ()).await;
+            let mut stepped = SteppedRouter::start(tasks, USUAL, Cached::After(700 * MS, 1000), |_| ()).await;
             assert_eq!(put(&stepped.router, "/-/drain"), 200);
-            let since = Instant::now();
+            let drain_start = Instant::now();
             stepped.clock.step_to(step).unwrap();
-            while !stepped.client.is_over() && since.elapsed() < TERM {
+            while !stepped.client.is_over() && drain_start.elapsed() < DRAIN_LIMIT {
                 Timer::after(MS).await;
             }
-            stepped.client.check(since, TERM);
+            stepped.client.check(drain_start, DRAIN_LIMIT);
             stepped.clock.step_to(0).unwrap();
             let pid = stepped.router.child.id().to_string();
             assert!(Command::new("kill").arg(pid).status().unwrap().success());
-            let told = Instant::now();
+            let signalled_at = Instant::now();
             stepped.clock.step_to(step).unwrap();
             while stepped.router.child.try_wait().unwrap().is_none() {
-                assert!(told.elapsed() < KILL, "alive {:?} after SIGTERM", told.elapsed());
+                assert!(
+                    signalled_at.elapsed() < KILL_DELAY,
+                    "alive {:?} after SIGTERM",
+                    signalled_at.elapsed()
+                );
                 Timer::after(MS).await;
             }
         });
     });
 }
 
-/// Starts a router whose wall clock is wrong by `offset`, with a cache whose answers the test writes. Also returns the
-/// client and the coordinator's connection.
-async fn start_wrong(tasks: &Tasks, offset: i64) -> (Router, Cache, Client, Stream, tempfile::TempDir) {
-    let (listener, nowhere) = listen();
+/// Starts a router whose wall clock is wrong by `offset`, with a cache whose answers the test writes. Also
+/// returns the client and the coordinator's connection.
+async fn start_with_wrong_clock(
+    tasks: &Tasks,
+    offset: i64,
+) -> (Router, Cache, Client, Stream, tempfile::TempDir) {
+    let (listener, coordinator_address) = listen();
     let cache = Cache::start(tasks);
-    let mut file = configuration(&[entry(1, "box", cache.address), entry(99, "origin", nowhere)], nowhere);
+    let mut file = configuration(
+        &[entry(1, "box", cache.address), entry(99, "origin", coordinator_address)],
+        coordinator_address,
+    );
     // The rate limits are high enough for an own copy to be delivered at once.
     (file["flow_bytes_per_s"], file["link_bytes_per_s"]) = (1_000_000_000.into(), 1_000_000_000.into());
     file["settings"]["family_info"]["fresh_for_ms"] = serde_json::json!([FRESH_MS, 0]);
@@ -171,7 +186,7 @@
 const FRESH_MS: u64 = 1000;
 
 /// Requests the object of [`page`] with this sequence number.
-async fn ask(client: &Client, seq: i32) {
+async fn request_object(client: &Client, seq: i32) {
     let rid = format!("{seq:016x}");
     let mut fields: Vec<(&str, &str)> = page("");
     fields[1].1 = &rid;
@@ -179,7 +194,7 @@
 }
 
 /// Answers the cache's next command with a hit whose copy was made now; returns the command.
-async fn hit(cache: &Cache) -> common::Command {
+async fn answer_with_hit(cache: &Cache) -> common::Command {
     let (want, line) = cache.next().await;
     let stamp = silverspindle::clock::Stamp::now().as_micros() / 1000;
     let named = format!("version=4be0c1927d55a6f3,stamp={stamp},why=deep_fill");
@@ -192,12 +207,12 @@
 fn a_copy_is_not_served_past_its_time_by_a_router_that_started_behind() {
     for offset in [-5 * SECOND, -3600 * SECOND] {
         run(async |tasks| {
-            let (_router, cache, client, _kept, _directory) = start_wrong(tasks, offset).await;
-            ask(&client, 1).await;
-            hit(&cache).await;
+            let (_router, cache, client, _kept, _directory) = start_with_wrong_clock(tasks, offset).await;
+            request_object(&client, 1).await;
+            answer_with_hit(&cache).await;
             assert_eq!(client.next().await.unwrap(), served(1, b"bytes"));
             Timer::after(Duration::from_millis(FRESH_MS + 200)).await;
-            ask(&client, 2).await;
+            request_object(&client, 2).await;
             let asked = async { Some(cache.next().await.0) };
             let answered = async { client.next().await.and(None) };
             let want = futures_lite::future::or(asked, answered).await;
@@ -206,12 +221,13 @@
     }
 }
 
-/// Guards against a wall clock that was ahead at the start and makes a purge look long past: caches must still be asked for
-/// copies newer than the purge.
+/// Guards against a wall clock that was ahead at the start and makes a purge look long past: caches must
+/// still be asked for copies newer than the purge.
 #[test]
 fn a_purge_is_applied_by_a_router_that_started_ahead() {
     run(async |tasks| {
-        let (mut router, cache, client, coordinator, _directory) = start_wrong(tasks, 3600 * SECOND).await;
+        let (mut router, cache, client, coordinator, _directory) =
+            start_with_wrong_clock(tasks, 3600 * SECOND).await;
         let now = silverspindle::clock::Stamp::now().as_micros() / 1000;
         let mut purge = 0x7f3a_9c21_e0b4_d655_u64.to_be_bytes().to_vec();
         purge.extend(now.to_be_bytes());
@@ -219,8 +235,8 @@
         // Events are applied in order: once the list that follows the purge is applied, so is the purge.
         (&*coordinator).write_all(&event(3, 2, &record(1, 0, cache.address))).await.unwrap();
         assert!(router.lines.any(|line| line.contains("list: 1 entries")));
-        ask(&client, 1).await;
-        let want = hit(&cache).await;
+        request_object(&client, 1).await;
+        let want = answer_with_hit(&cache).await;
         let newer: u64 = field(&want, "newer").expect("a limit of age").parse().unwrap();
         assert!(newer < FRESH_MS, "{newer} ms");
     });
--- a/silverspindle/tests/config.rs
+++ b/silverspindle/tests/config.rs
@@ -37,8 +37,8 @@
     assert_eq!((c.streams_per_conn, c.idle_close, c.settings.connect_timeout), (32, 30_000_000, 400_000));
 }
 
-/// Guards against a router that can't start on the operators' days with halved limits, 24 MB and 192 descriptors. Also
-/// checks the management address, for which the environment overrides the file.
+/// Guards against a router that can't start on the operators' days with halved limits, 24 MB and 192
+/// descriptors. Also checks the management address, for which the environment overrides the file.
 #[test]
 fn halved_limits_and_the_management_address_are_accepted() {
     let mut file = file();
@@ -92,30 +92,30 @@
     }
 }
 
-/// A setting of a wrong type falls back to a safe default, which is reported as a note. Where no default is safe, the start
-/// is refused. All faults are reported at once.
+/// A setting of a wrong type falls back to a safe default, which is reported as a note. Where no default is
+/// safe, the start is refused. All faults are reported at once.
 #[test]
 fn settings_of_a_wrong_type_are_reported_with_their_safe_default() {
-    let mut odd = file();
-    odd["settings"]["limits"]["second_copies"] = json!("perhaps");
-    odd["settings"]["family_info"]["heed_within_ms"] = json!([500]);
-    odd["settings"]["classes"][0]["idempotency"] = json!("sometimes");
-    let read = config(&odd).unwrap();
+    let mut invalid = file();
+    invalid["settings"]["limits"]["second_copies"] = json!("perhaps");
+    invalid["settings"]["family_info"]["heed_within_ms"] = json!([500]);
+    invalid["settings"]["classes"][0]["idempotency"] = json!("sometimes");
+    let read = config(&invalid).unwrap();
     let settings = &read.catalogue.settings;
     assert!(!settings.second_copies && settings.purge_grace == 0);
     assert_eq!(settings.classes[0].effect, bitternhold::Effect::AtMostOnce);
     let keys: Vec<&str> = read.notes.iter().filter_map(|note| note.split(": ").next()).collect();
-    let told = [
+    let expected = [
         "settings.limits.second_copies",
         "settings.family_info.heed_within_ms",
         "settings.classes[0].idempotency",
     ];
-    assert_eq!(keys, told);
+    assert_eq!(keys, expected);
     assert!(config(&file()).unwrap().notes.is_empty(), "a valid file has no notes");
-    odd["settings"]["rules"]["tip_after_ms"] = json!("soon");
-    odd["settings"]["family_info"]["cleared_within_ms"] = json!(true);
-    odd["seed"] = json!(7);
-    let faults = Config::parse_all(&odd.to_string(), &|_| None).unwrap_err();
+    invalid["settings"]["rules"]["tip_after_ms"] = json!("soon");
+    invalid["settings"]["family_info"]["cleared_within_ms"] = json!(true);
+    invalid["seed"] = json!(7);
+    let faults = Config::parse_all(&invalid.to_string(), &|_| None).unwrap_err();
     let keys = ["seed", "settings.rules.tip_after_ms", "settings.family_info.cleared_within_ms"];
     assert!(
         faults.len() == 3
@@ -124,13 +124,13 @@
     );
 }
 
-/// Guards against misbehaving clients that fill the disk or use up the processor with log lines: the lines per second are
-/// limited, and the suppressed ones are counted.
+/// Guards against misbehaving clients that fill the disk or use up the processor with log lines: the lines
+/// per second are limited, and the suppressed ones are counted.
 #[test]
 fn log_lines_per_second_are_limited_and_suppressed_ones_counted() {
-    let mut sieve = silverspindle::logging::Sieve::default();
-    let passed = (0..1000).filter(|i| sieve.passes(5_000_000 + i).is_some()).count();
+    let mut limiter = silverspindle::logging::RateLimiter::default();
+    let passed = (0..1000).filter(|i| limiter.admit(5_000_000 + i).is_some()).count();
     assert_eq!(passed, 20);
-    assert_eq!(sieve.passes(6_000_000), Some(980));
-    assert_eq!(sieve.passes(6_000_001), Some(0));
+    assert_eq!(limiter.admit(6_000_000), Some(980));
+    assert_eq!(limiter.admit(6_000_001), Some(0));
 }
--- a/silverspindle/tests/known_red.rs
+++ b/silverspindle/tests/known_red.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-fn read(list: &str) -> Output {
+fn run_script(list: &str) -> Output {
     let directory = tempfile::tempdir().unwrap();
     let file = directory.path().join("KNOWN-RED.txt");
     std::fs::write(&file, list).unwrap();
@@ -13,11 +13,12 @@
 
 #[test]
 fn exactly_the_listed_tests_are_skipped_and_printed() {
-    let out = read("one::case, the clock jumps, #7\n\nother_case, a race in the kernel, seen twice, #8\n");
+    let out =
+        run_script("one::case, the clock jumps, #7\n\nother_case, a race in the kernel, seen twice, #8\n");
     assert!(out.status.success());
     assert_eq!(out.stdout, b"--skip\none::case\n--skip\nother_case\n");
     assert!(String::from_utf8_lossy(&out.stderr).contains("the clock jumps"));
-    assert!(read("").status.success());
+    assert!(run_script("").status.success());
 }
 
 /// Without known failures there is no list, and nothing is skipped.
@@ -32,8 +33,8 @@
 #[test]
 fn more_than_three_lines_or_an_incomplete_line_fail() {
     let line = |n: u32| format!("case_{n}, a cause, #{n}\n");
-    assert!(read(&(1..=3).map(line).collect::<String>()).status.success());
-    assert!(!read(&(1..=4).map(line).collect::<String>()).status.success());
+    assert!(run_script(&(1..=3).map(line).collect::<String>()).status.success());
+    assert!(!run_script(&(1..=4).map(line).collect::<String>()).status.success());
     for half in [
         "case_1",
         "case_1, a cause",
@@ -42,6 +43,6 @@
         "case_1, a cause, 1",
         "a case, a cause, #1",
     ] {
-        assert!(!read(half).status.success(), "{half}");
+        assert!(!run_script(half).status.success(), "{half}");
     }
 }
--- a/silverspindle/tests/restarts.rs
+++ b/silverspindle/tests/restarts.rs
@@ -11,9 +11,9 @@
 
 /// Number of router processes.
 const PROCESSES: usize = 30;
-/// Maximum time until nine in ten processes are ready. The operators require 10 s; the test allows more, so that its result
-/// doesn't depend on the speed of a busy machine.
-const AT_MOST: Duration = Duration::from_secs(60);
+/// Maximum time until nine in ten processes are ready. The operators require 10 s; the test allows more, so
+/// that its result doesn't depend on the speed of a busy machine.
+const MAX_READY_TIME: Duration = Duration::from_secs(60);
 
 /// Starts a router process; returns it with its address once it serves.
 fn start(file: &serde_json::Value, listen: &str) -> (Child, SocketAddr) {
@@ -37,20 +37,20 @@
 }
 
 /// Whether the router at this address answers `isWell` with true.
-fn well(address: SocketAddr) -> bool {
+fn is_well(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect_timeout(&address, Duration::from_millis(500)) else {
         return false;
     };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(2)));
-    let good = silverspindle::thrift::answer("isWell", 1, 0, &[], true).concat();
-    let mut answer = vec![0; good.len()];
+    let expected = silverspindle::thrift::answer("isWell", 1, 0, &[], true).concat();
+    let mut answer = vec![0; expected.len()];
     stream.write_all(&common::call(1, "isWell", 1, &[2, 0, 1, 0, 0])).is_ok()
         && stream.read_exact(&mut answer).is_ok()
-        && answer == good
+        && answer == expected
 }
 
-/// Guards against a slow start when many processes start at once or while many clients connect. Each process must become
-/// ready on the address of the killed one.
+/// Guards against a slow start when many processes start at once or while many clients connect. Each process
+/// must become ready on the address of the killed one.
 #[test]
 fn thirty_processes_killed_under_traffic_are_ready_again() {
     let (_listener, nowhere) = common::listen();
@@ -82,30 +82,33 @@
         child.kill().unwrap();
         child.wait().unwrap();
     }
-    let from = Instant::now();
-    let again: Vec<_> = addresses
+    let killed_at = Instant::now();
+    let restarted: Vec<_> = addresses
         .iter()
         .map(|address| {
             let (file, address) = (file.clone(), *address);
             std::thread::spawn(move || {
                 let (child, _) = start(&file, &address.to_string());
-                while from.elapsed() < AT_MOST && !well(address) {
+                while killed_at.elapsed() < MAX_READY_TIME && !is_well(address) {
                     std::thread::sleep(Duration::from_millis(20));
                 }
-                (child, from.elapsed())
+                (child, killed_at.elapsed())
             })
         })
         .collect();
-    let mut took = Vec::new();
-    for thread in again {
+    let mut ready_times = Vec::new();
+    for thread in restarted {
         let (mut child, ready) = thread.join().unwrap();
-        took.push(ready);
+        ready_times.push(ready);
         child.kill().unwrap();
         child.wait().unwrap();
     }
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    took.sort();
-    println!("ready after: median {:?}, nine in ten {:?}, last {:?}", took[14], took[26], took[29]);
-    assert!(took[26] < AT_MOST, "{took:?}");
+    ready_times.sort();
+    println!(
+        "ready after: median {:?}, nine in ten {:?}, last {:?}",
+        ready_times[14], ready_times[26], ready_times[29]
+    );
+    assert!(ready_times[26] < MAX_READY_TIME, "{ready_times:?}");
 }
--- a/silverspindle/tests/router.rs
+++ b/silverspindle/tests/router.rs
@@ -8,8 +8,8 @@
 use silverspindle::thrift;
 
 const RID: &str = "9b1f03aa5c7e2d41";
-const OTHER: &str = "00000000000000a2";
-const THIRD: &str = "00000000000000a3";
+const SECOND_RID: &str = "00000000000000a2";
+const THIRD_RID: &str = "00000000000000a3";
 
 #[test]
 fn a_request_and_its_answer_are_forwarded_unchanged() {
@@ -40,10 +40,10 @@
         assert_eq!(client.next().await.unwrap(), served(2, body.as_bytes()));
 
         // The client's own copy is still valid: the answer has an empty body and `keep`.
-        (fields[1].1, fields[4].1) = (OTHER, "4");
+        (fields[1].1, fields[4].1) = (SECOND_RID, "4");
         client.send(&serve(3, &fields, b"")).await;
         let (_, line) = cache.next().await;
-        reply(&line, &[OTHER, "VALID", NAMED, ""]).await;
+        reply(&line, &[SECOND_RID, "VALID", NAMED, ""]).await;
         let holds = thrift::answer("serve", 3, 0, &[("keep", "1")], true).concat();
         assert_eq!(client.next().await.unwrap(), holds);
     });
@@ -73,20 +73,21 @@
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
         let client = Client::connect(tasks, router.address).await;
-        client.send(&[serve(1, &page(RID), b""), serve(2, &page(OTHER), b"")].concat()).await;
+        client.send(&[serve(1, &page(RID), b""), serve(2, &page(SECOND_RID), b"")].concat()).await;
         // Each request has a connection of its own, and the cache may read those in any order.
         let mut read = [cache.next().await, cache.next().await];
         read.sort_by(|a, b| b.0[1].cmp(&a.0[1]));
         let [(first, line), (second, other)] = read;
-        assert_eq!((first[1].as_str(), second[1].as_str()), (RID, OTHER));
-        reply(&other, &[OTHER, "HIT", NAMED, "b"]).await;
+        assert_eq!((first[1].as_str(), second[1].as_str()), (RID, SECOND_RID));
+        reply(&other, &[SECOND_RID, "HIT", NAMED, "b"]).await;
         assert_eq!(client.next().await.unwrap(), served(2, b"b"));
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(client.next().await.unwrap(), served(1, b"a"));
     });
 }
 
-/// Guards against forwarding a request with an invalid field: if one reaches a cache, the operators' run is void.
+/// Guards against forwarding a request with an invalid field: if one reaches a cache, the operators' run is
+/// void.
 #[test]
 fn a_bad_field_fails_without_an_attempt() {
     run(async |tasks| {
@@ -146,7 +147,8 @@
     });
 }
 
-/// Guards against an answer after `forget`: the client expects none, and a second answer counts as a lost request.
+/// Guards against an answer after `forget`: the client expects none, and a second answer counts as a lost
+/// request.
 #[test]
 fn a_forgotten_request_gets_no_answer() {
     run(async |tasks| {
@@ -156,19 +158,21 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, line) = cache.next().await;
         client.send(&forget(1)).await;
-        // The answer to this call follows the `forget`, so the director has read that before the cache answers.
+        // The answer to this call follows the `forget`, so the director has read that before the cache
+        // answers.
         assert!(client.well(2).await);
         assert_eq!(cache.next().await.0, ["never_mind", RID]);
         reply(&line, &[RID, "HIT", NAMED, "late"]).await;
-        client.send(&serve(3, &page(OTHER), b"")).await;
+        client.send(&serve(3, &page(SECOND_RID), b"")).await;
         let (want, line) = cache.next().await;
-        assert_eq!(want[1], OTHER);
-        reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
+        assert_eq!(want[1], SECOND_RID);
+        reply(&line, &[SECOND_RID, "HIT", NAMED, "b"]).await;
         assert_eq!(client.next().await.unwrap(), served(3, b"b"));
     });
 }
 
-/// Guards against a router that spins on a client's close while a request of that client is open, and serves nobody else.
+/// Guards against a router that spins on a client's close while a request of that client is open, and serves
+/// nobody else.
 #[test]
 fn a_client_that_leaves_does_not_affect_others() {
     run(async |tasks| {
@@ -181,22 +185,23 @@
         assert_eq!(client.next().await, None);
         assert_eq!(cache.next().await.0, ["never_mind", RID]);
         let other = Client::connect(tasks, router.address).await;
-        other.send(&serve(1, &page(OTHER), b"")).await;
+        other.send(&serve(1, &page(SECOND_RID), b"")).await;
         let (want, line) = cache.next().await;
-        assert_eq!(want[1], OTHER);
-        reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
+        assert_eq!(want[1], SECOND_RID);
+        reply(&line, &[SECOND_RID, "HIT", NAMED, "b"]).await;
         assert_eq!(other.next().await.unwrap(), served(1, b"b"));
     });
 }
 
-/// Guards against a cache that sends malformed answers or drops its connection. The attempt may have run, so only a
-/// request that is safe to repeat is sent to another cache.
+/// Guards against a cache that sends malformed answers or drops its connection. The attempt may have run, so
+/// only a request that is safe to repeat is sent to another cache.
 #[test]
 fn after_a_malformed_answer_or_a_reset_another_cache_answers() {
-    for nonsense in [
+    for malformed in [
         Some("*1\r\n$3\r\nwat\r\n"),
         Some("*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$5\r\nVALID\r\n$1\r\n-\r\n$0\r\n\r\n"),
-        // No tag and no time; a length shorter than the body; a body cut off on an open connection; a body of 3 GB.
+        // No tag and no time; a length shorter than the body; a body cut off on an open connection; a body of
+        // 3 GB.
         Some("*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\nHIT\r\n$8\r\nwhy=warm\r\n$1\r\nx\r\n"),
         Some("*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\nHIT\r\n$18\r\nversion=aa,stamp=1\r\n$1\r\nxy\r\n"),
         Some("*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\nHIT\r\n$18\r\nversion=aa,stamp=1\r\n$9\r\nxy"),
@@ -207,14 +212,14 @@
             let (one, two) = (Cache::start(tasks), Cache::start(tasks));
             let (router, _coordinator) = router(tasks, &[one.address, two.address]);
             let client = Client::connect(tasks, router.address).await;
-            let mut patient = page(RID);
+            let mut fields = page(RID);
             // With this size the first attempt is far from overdue when its answer stalls.
-            patient.retain(|(name, _)| *name != "mem");
-            patient.push(("mem", "50000"));
-            client.send(&serve(1, &patient, b"")).await;
+            fields.retain(|(name, _)| *name != "mem");
+            fields.push(("mem", "50000"));
+            client.send(&serve(1, &fields, b"")).await;
             let next = || futures_lite::future::or(one.next(), two.next());
             let (_, line) = next().await;
-            match nonsense {
+            match malformed {
                 Some(bytes) => (&*line).write_all(bytes.as_bytes()).await.unwrap(),
                 None => line.get_ref().shutdown(std::net::Shutdown::Both).unwrap(),
             }
@@ -249,8 +254,8 @@
     });
 }
 
-/// Guards against requests without an answer: an attempt at a silent cache times out at the deadline, the cache gets a
-/// cancellation, and the client a refusal with retry advice.
+/// Guards against requests without an answer: an attempt at a silent cache times out at the deadline, the
+/// cache gets a cancellation, and the client a refusal with retry advice.
 #[test]
 fn an_attempt_at_a_silent_cache_ends_at_the_deadline() {
     run(async |tasks| {
@@ -268,8 +273,8 @@
     });
 }
 
-/// Guards against attempts at a cache that drains, and against events missed after a lost connection: the feed is resumed
-/// from the last event, and an event that arrives twice is applied once.
+/// Guards against attempts at a cache that drains, and against events missed after a lost connection: the
+/// feed is resumed from the last event, and an event that arrives twice is applied once.
 #[test]
 fn the_list_is_followed_across_a_lost_connection() {
     run(async |tasks| {
@@ -289,7 +294,8 @@
         let mut feed = coordinator.accept().await.unwrap().0;
         feed.read_exact(&mut last).await.unwrap();
         assert_eq!(u64::from_be_bytes(last), 2);
-        // The old event, by which the first cache is ready, must be ignored; the new one drains the second cache.
+        // The old event, by which the first cache is ready, must be ignored; the new one drains the second
+        // cache.
         feed.write_all(&frame(1, &record(1, 0, &one))).await.unwrap();
         feed.write_all(&frame(3, &record(2, 1, &two))).await.unwrap();
         // With no cache left every request is refused, once the router has applied the event.
@@ -312,7 +318,8 @@
     });
 }
 
-/// Guards against a coordinator that is cut off: its connection stays open, but no more empty frames (heartbeats) arrive.
+/// Guards against a coordinator that is cut off: its connection stays open, but no more empty frames
+/// (heartbeats) arrive.
 #[test]
 fn the_router_reconnects_to_a_silent_coordinator() {
     run(async |tasks| {
@@ -322,8 +329,8 @@
     });
 }
 
-/// Guards against requests lost around a planned restart: a router that shuts down reports that it is not well, keeps
-/// serving, and ends only once every request is answered.
+/// Guards against requests lost around a planned restart: a router that shuts down reports that it is not
+/// well, keeps serving, and ends only once every request is answered.
 #[test]
 fn a_shutdown_waits_for_open_and_late_requests() {
     run(async |tasks| {
@@ -332,22 +339,23 @@
         let client = Client::connect(tasks, router.address).await;
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, first) = cache.next().await;
-        let talk = async {
+        let client_script = async {
             let late = Client::connect(tasks, router.address).await;
             while late.well(1).await {}
-            late.send(&serve(2, &page(OTHER), b"")).await;
+            late.send(&serve(2, &page(SECOND_RID), b"")).await;
             let (want, line) = cache.next().await;
-            assert_eq!(want[1], OTHER);
-            reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
+            assert_eq!(want[1], SECOND_RID);
+            reply(&line, &[SECOND_RID, "HIT", NAMED, "b"]).await;
             assert_eq!(late.next().await.unwrap(), served(2, b"b"));
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
             assert_eq!(client.next().await.unwrap(), served(1, b"a"));
         };
-        both(router.end(), talk).await;
+        both(router.end(), client_script).await;
     });
 }
 
-/// Guards against clients that hold unused connections and keep others out. Connections with an open request stay.
+/// Guards against clients that hold unused connections and keep others out. Connections with an open request
+/// stay.
 #[test]
 fn unused_connections_make_room_for_waiting_clients() {
     run(async |tasks| {
@@ -368,7 +376,8 @@
     });
 }
 
-/// Guards against connections that send nothing or only part of a message: each is closed, even if only a few are open.
+/// Guards against connections that send nothing or only part of a message: each is closed, even if only a few
+/// are open.
 #[test]
 fn silent_connections_and_partial_messages_are_closed() {
     run(async |tasks| {
@@ -385,8 +394,9 @@
     });
 }
 
-/// Guards against answers that can't be told apart and against floods of one request. A request whose id was used before,
-/// on any connection, fails without an attempt; a sequence number that doesn't increase closes its connection.
+/// Guards against answers that can't be told apart and against floods of one request. A request whose id was
+/// used before, on any connection, fails without an attempt; a sequence number that doesn't increase closes
+/// its connection.
 #[test]
 fn request_ids_are_unique_and_sequence_numbers_increase() {
     run(async |tasks| {
@@ -400,7 +410,7 @@
         other[3].1 = "00000000000000b1";
         bad.send(&serve(7, &other, b"")).await;
         assert_eq!(bad.next().await.unwrap(), thrift::broken(7));
-        bad.send(&serve(7, &page(OTHER), b"")).await;
+        bad.send(&serve(7, &page(SECOND_RID), b"")).await;
         assert_eq!(bad.next().await, None);
         assert!(cache.nothing_came());
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
@@ -408,8 +418,8 @@
     });
 }
 
-/// Guards against asking a cache for an object of which the router holds a copy, and against serving that copy after a
-/// purge.
+/// Guards against asking a cache for an object of which the router holds a copy, and against serving that
+/// copy after a purge.
 #[test]
 fn an_own_copy_is_served_until_it_is_purged() {
     run(async |tasks| {
@@ -420,7 +430,7 @@
         let (_, line) = cache.next().await;
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(client.next().await.unwrap(), served(1, b"a"));
-        client.send(&serve(2, &page(OTHER), b"")).await;
+        client.send(&serve(2, &page(SECOND_RID), b"")).await;
         assert_eq!(client.next().await.unwrap(), served(2, b"a"));
         let mut holder = page("00000000000000a3");
         holder.push(("cached", "4be0c1927d55a6f3"));
@@ -448,9 +458,10 @@
     });
 }
 
-/// Guards against a router that shuts down and accepts requests that SIGKILL would leave unanswered. On a busy connection, a
-/// request that arrives after `LINGER` and is due after the kill is refused at once with advice and sent to no cache. One
-/// that is due before the kill is still served, and requests accepted earlier are answered.
+/// Guards against a router that shuts down and accepts requests that SIGKILL would leave unanswered. On a
+/// busy connection, a request that arrives after `LINGER` and is due after the kill is refused at once with
+/// advice and sent to no cache. One that is due before the kill is still served, and requests accepted
+/// earlier are answered.
 #[test]
 fn a_router_that_shuts_down_refuses_requests_due_after_the_kill() {
     run(async |tasks| {
@@ -459,13 +470,13 @@
         let client = Client::connect(tasks, router.address).await;
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, first) = cache.next().await;
-        let talk = async {
+        let client_script = async {
             // Wait for the end of `LINGER`, as requests within it are accepted whatever their deadline.
             silverspindle::clock::at(silverspindle::clock::now() + silverspindle::drain::LINGER).await;
-            client.send(&serve(2, &page(OTHER), b"")).await;
+            client.send(&serve(2, &page(SECOND_RID), b"")).await;
             let answer = client.next().await.unwrap();
             assert!(advice(&answer, 2).is_some(), "a 20 s budget ends after the kill: refused");
-            let mut short = page(THIRD);
+            let mut short = page(THIRD_RID);
             short.retain(|(name, _)| *name != "budget");
             short.push(("budget", "1000"));
             client.send(&serve(3, &short, b"")).await;
@@ -476,12 +487,12 @@
                     break (want, line);
                 }
             };
-            assert_eq!(want[1], THIRD, "no attempt was made for the refused request");
-            reply(&line, &[THIRD, "HIT", NAMED, "c"]).await;
+            assert_eq!(want[1], THIRD_RID, "no attempt was made for the refused request");
+            reply(&line, &[THIRD_RID, "HIT", NAMED, "c"]).await;
             assert_eq!(client.next().await.unwrap(), served(3, b"c"));
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
             assert_eq!(client.next().await.unwrap(), served(1, b"a"));
         };
-        both(router.end(), talk).await;
+        both(router.end(), client_script).await;
     });
 }
--- a/silverspindle/tests/soak.rs
+++ b/silverspindle/tests/soak.rs
@@ -1,4 +1,5 @@
-//! A short soak with fixed seeds: router processes under signals, drains, upgrades, kills, clock steps and faulty caches.
+//! A short soak with fixed seeds: router processes under signals, drains, upgrades, kills, clock steps and
+//! faulty caches.
 
 use std::path::PathBuf;
 
