--- a/silverspindle/src/config.rs
+++ b/silverspindle/src/config.rs
@@ -74,12 +74,12 @@
 }
 
 /// Reads a number under `limits`.
-fn limit(file: &Value, name: &str, default: f64, min: f64) -> Result<f64, String> {
+fn limit(file: &Value, name: &str, default: f64, minimum: f64) -> Result<f64, String> {
     match &file["limits"][name] {
         Value::Null => Ok(default),
-        v => match v.as_f64().filter(|x| *x >= min) {
+        v => match v.as_f64().filter(|x| *x >= minimum) {
             Some(x) => Ok(x),
-            None => fault(&format!("limits.{name}"), &format!("must be a number of at least {min}")),
+            None => fault(&format!("limits.{name}"), &format!("must be a number of at least {minimum}")),
         },
     }
 }
--- a/silverspindle/src/main.rs
+++ b/silverspindle/src/main.rs
@@ -590,9 +590,8 @@
         }
     }
     if options.wait {
-        let in_effect =
-            staff.wait_rules(number, |missing| println!("missing: {}", missing.join(", "))).await?;
-        if !in_effect {
+        let active = staff.wait_rules(number, |missing| println!("missing: {}", missing.join(", "))).await?;
+        if !active {
             return Err(format!("version {number} was taken back: see 'fleet rules history'"));
         }
         println!("version {number} holds everywhere");
--- a/silverspindle/src/management.rs
+++ b/silverspindle/src/management.rs
@@ -29,9 +29,9 @@
 /// Timeout of a whole call. Callers wait 1 s for the answer.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Maximum length of a request head, in bytes.
-pub const MAX_HEAD_BYTES: usize = 2048;
+pub const MAX_HEAD: usize = 2048;
 /// Maximum length of a request body, in bytes. Bodies are read and discarded.
-const MAX_BODY_BYTES: usize = 1024;
+const MAX_BODY: usize = 1024;
 /// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 24;
 /// Delay after a failed accept, for example when no file descriptor is free.
@@ -67,7 +67,7 @@
     let mut request = httparse::Request::new(&mut headers);
     let head_length = match request.parse(bytes) {
         Ok(httparse::Status::Complete(head_length)) => head_length,
-        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => {
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD => {
             return refusal(431, "head too long");
         }
         Ok(httparse::Status::Partial) => return Parsed::Incomplete,
@@ -81,7 +81,7 @@
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = std::str::from_utf8(header.value).ok().filter(|t| !t.is_empty());
             match digits.filter(|t| t.bytes().all(|b| b.is_ascii_digit())).and_then(|t| t.parse().ok()) {
-                Some(n) if n <= MAX_BODY_BYTES => body_length = n,
+                Some(n) if n <= MAX_BODY => body_length = n,
                 Some(_) => return refusal(413, "body too long"),
                 None => return refusal(400, "malformed content-length"),
             }
@@ -202,7 +202,7 @@
 
     /// Reads one call, applies it and writes the response.
     async fn call(&self, mut stream: Async<TcpStream>) -> io::Result<()> {
-        let mut buffer = [0u8; MAX_HEAD_BYTES];
+        let mut buffer = [0u8; MAX_HEAD];
         let mut filled = 0;
         let response = loop {
             let n = stream.read(&mut buffer[filled..]).await?;
@@ -221,7 +221,7 @@
         }
         let mut remaining = response.body_remaining;
         while remaining > 0 {
-            let n = stream.read(&mut buffer[..remaining.min(MAX_HEAD_BYTES)]).await?;
+            let n = stream.read(&mut buffer[..remaining.min(MAX_HEAD)]).await?;
             if n == 0 {
                 break;
             }
@@ -251,65 +251,68 @@
 
     #[test]
     fn ready_drain_and_resume_follow_the_state_of_the_drain() {
-        let mut drain = Drain::new();
-        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", &mut drain)), 503);
-        drain.started();
-        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 200);
-        assert_eq!(status(call("PUT /-/drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n", &mut drain)), 200);
-        assert!(!drain.ready());
-        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 503);
+        let mut drain_state = Drain::new();
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", &mut drain_state)), 503);
+        drain_state.started();
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain_state)), 200);
+        assert_eq!(status(call("PUT /-/drain HTTP/1.1\r\nContent-Length: 0\r\n\r\n", &mut drain_state)), 200);
+        assert!(!drain_state.ready());
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain_state)), 503);
         assert_eq!(
-            status(call("PUT /-/drain HTTP/1.1\r\n\r\n", &mut drain)),
+            status(call("PUT /-/drain HTTP/1.1\r\n\r\n", &mut drain_state)),
             200,
             "a second drain call succeeds"
         );
-        assert_eq!(status(call("PUT /-/resume HTTP/1.1\r\n\r\n", &mut drain)), 200);
-        assert_eq!(status(call("PUT /-/resume HTTP/1.1\r\n\r\n", &mut drain)), 200);
-        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 200);
-        drain.end(6);
-        assert_eq!(status(call("PUT /-/resume HTTP/1.1\r\n\r\n", &mut drain)), 409);
-        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 503);
+        assert_eq!(status(call("PUT /-/resume HTTP/1.1\r\n\r\n", &mut drain_state)), 200);
+        assert_eq!(status(call("PUT /-/resume HTTP/1.1\r\n\r\n", &mut drain_state)), 200);
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain_state)), 200);
+        drain_state.end(6);
+        assert_eq!(status(call("PUT /-/resume HTTP/1.1\r\n\r\n", &mut drain_state)), 409);
+        assert_eq!(status(call("GET /-/ready HTTP/1.1\r\n\r\n", &mut drain_state)), 503);
     }
 
     #[test]
     fn invalid_calls_are_refused_and_change_nothing() {
-        let mut drain = Drain::new();
-        drain.started();
-        assert_eq!(status(call("GET /-/drain HTTP/1.1\r\n\r\n", &mut drain)), 405);
-        assert_eq!(status(call("POST /-/ready HTTP/1.1\r\n\r\n", &mut drain)), 405);
+        let mut drain_state = Drain::new();
+        drain_state.started();
+        assert_eq!(status(call("GET /-/drain HTTP/1.1\r\n\r\n", &mut drain_state)), 405);
+        assert_eq!(status(call("POST /-/ready HTTP/1.1\r\n\r\n", &mut drain_state)), 405);
         assert_eq!(
-            status(call("HEAD /-/ready HTTP/1.1\r\n\r\n", &mut drain)),
+            status(call("HEAD /-/ready HTTP/1.1\r\n\r\n", &mut drain_state)),
             405,
             "the response always has a body, so HEAD is not supported"
         );
-        assert_eq!(status(call("GET /metrics HTTP/1.1\r\n\r\n", &mut drain)), 404);
-        assert_eq!(status(call("GARBAGE\r\n\r\n", &mut drain)), 400);
-        assert_eq!(status(call("PUT /-/drain HTTP/1.1\r\nContent-Length: x\r\n\r\n", &mut drain)), 400);
-        assert_eq!(status(call("PUT /-/drain HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", &mut drain)), 413);
+        assert_eq!(status(call("GET /metrics HTTP/1.1\r\n\r\n", &mut drain_state)), 404);
+        assert_eq!(status(call("GARBAGE\r\n\r\n", &mut drain_state)), 400);
+        assert_eq!(status(call("PUT /-/drain HTTP/1.1\r\nContent-Length: x\r\n\r\n", &mut drain_state)), 400);
         assert_eq!(
-            status(call("PUT /-/drain HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", &mut drain)),
+            status(call("PUT /-/drain HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", &mut drain_state)),
+            413
+        );
+        assert_eq!(
+            status(call("PUT /-/drain HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", &mut drain_state)),
             411
         );
-        assert!(drain.ready(), "a refused call doesn't drain");
-        let long = format!("GET /-/ready HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD_BYTES));
-        assert_eq!(status(call(&long, &mut drain)), 431);
+        assert!(drain_state.ready(), "a refused call doesn't drain");
+        let long = format!("GET /-/ready HTTP/1.1\r\nX: {}", "a".repeat(MAX_HEAD));
+        assert_eq!(status(call(&long, &mut drain_state)), 431);
     }
 
     #[test]
     fn a_partial_call_waits_for_the_rest() {
         let whole = "PUT /-/drain HTTP/1.1\r\nHost: router\r\nContent-Length: 3\r\n\r\nyes";
         for cut in 0..whole.len() - 3 {
-            let mut drain = Drain::new();
-            drain.started();
+            let mut drain_state = Drain::new();
+            drain_state.started();
             assert_eq!(
-                handle(&whole.as_bytes()[..cut], &mut drain, 1),
+                handle(&whole.as_bytes()[..cut], &mut drain_state, 1),
                 Parsed::Incomplete,
                 "answered an incomplete call of {cut} bytes"
             );
-            assert!(drain.ready());
+            assert!(drain_state.ready());
         }
-        let mut drain = Drain::new();
-        let Parsed::Response(a) = handle(&whole.as_bytes()[..whole.len() - 1], &mut drain, 1) else {
+        let mut drain_state = Drain::new();
+        let Parsed::Response(a) = handle(&whole.as_bytes()[..whole.len() - 1], &mut drain_state, 1) else {
             panic!()
         };
         assert_eq!(
