--- a/silverspindle/src/counters.rs
+++ b/silverspindle/src/counters.rs
@@ -173,12 +173,12 @@
     counts: impl Iterator<Item = (&'a str, u64)>,
 ) -> fmt::Result {
     write!(f, "{heading}:")?;
-    let mut is_empty = true;
+    let mut no_counts = true;
     for (name, count) in counts {
-        is_empty = false;
+        no_counts = false;
         write!(f, " {name}={count}")?;
     }
-    if is_empty { write!(f, " none") } else { Ok(()) }
+    if no_counts { write!(f, " none") } else { Ok(()) }
 }
 
 impl fmt::Display for Counters {
--- a/silverspindle/src/main.rs
+++ b/silverspindle/src/main.rs
@@ -153,14 +153,14 @@
         /// The file, in the syntax of the operators' file
         file: PathBuf,
         #[command(flatten)]
-        options: ProposalOptions,
+        opts: ProposalOptions,
     },
     /// Propose the rules of an earlier version again, as a new version
     Return {
         /// Number of the earlier version
         version: u64,
         #[command(flatten)]
-        options: ProposalOptions,
+        opts: ProposalOptions,
     },
     /// Show the version in effect, the version being rolled out and the routers that it waits for
     Status,
@@ -553,15 +553,13 @@
         }
         RulesCommand::Diff { from, to } => print!("{}", rules_of(from).await?.diff(&rules_of(to).await?)),
         RulesCommand::History => print!("{}", staff::history_text(&staff.rules().await?.1)),
-        RulesCommand::Propose { file, options } => {
-            return propose(staff, read_rules(&file)?, options, json).await;
-        }
-        RulesCommand::Return { version, mut options } => {
+        RulesCommand::Propose { file, opts } => return propose(staff, read_rules(&file)?, opts, json).await,
+        RulesCommand::Return { version, mut opts } => {
             let rules = rules_of(version).await?;
-            if options.reason.is_empty() {
-                options.reason = format!("returns to {version}");
+            if opts.reason.is_empty() {
+                opts.reason = format!("returns to {version}");
             }
-            return propose(staff, rules, options, json).await;
+            return propose(staff, rules, opts, json).await;
         }
     }
     Ok(())
--- a/silverspindle/src/management.rs
+++ b/silverspindle/src/management.rs
@@ -67,9 +67,7 @@
     let mut request = httparse::Request::new(&mut headers);
     let head_length = match request.parse(bytes) {
         Ok(httparse::Status::Complete(head_length)) => head_length,
-        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD => {
-            return refusal(431, "head too long");
-        }
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD => return refusal(431, "head too long"),
         Ok(httparse::Status::Partial) => return Parsed::Incomplete,
         Err(_) => return refusal(400, "malformed request"),
     };
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -257,9 +257,7 @@
                 ProcessFile::register(std::path::Path::new(&directory), address, Stamp::now())
             })
             .map(Rc::new);
-        if let Some(process_file) =
-            process_file.clone().filter(|process_file| process_file.older_usage().is_some())
-        {
+        if let Some(process_file) = process_file.clone().filter(|file| file.older_usage().is_some()) {
             let limits = (config.sockets, config.memory);
             let limited = (descriptors, front.clone(), mailbox.clone());
             tasks.spawn(share_limits(process_file, limits, limited)).detach();
