--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -253,9 +253,7 @@
         }
         let director_mailbox = mailbox.clone();
         let process_file = std::env::var_os("TMPDIR")
-            .and_then(|directory| {
-                ProcessFile::register(std::path::Path::new(&directory), address, Stamp::now())
-            })
+            .and_then(|dir| ProcessFile::register(std::path::Path::new(&dir), address, Stamp::now()))
             .map(Rc::new);
         if let Some(process_file) = process_file.clone().filter(|file| file.older_usage().is_some()) {
             let limits = (config.sockets, config.memory);
