--- a/silverspindle/src/upgrade.rs
+++ b/silverspindle/src/upgrade.rs
@@ -129,7 +129,8 @@
             parse_file_name(entry.file_name().to_str()?, self.listen).filter(|pid| *pid != self.pid)
         });
         let file_time = |pid| {
-            let file = fs::read_to_string(self.directory.join(name(self.listen, pid))).unwrap_or_default();
+            let file =
+                fs::read_to_string(self.directory.join(file_name(self.listen, pid))).unwrap_or_default();
             Stamp::from_micros(file.trim().parse().unwrap_or(0))
         };
         pids.take(MAX_FILES).map(|pid| (pid, Start::of(pid, file_time(pid)))).collect()
@@ -157,7 +158,7 @@
 
 impl Drop for ProcessFile {
     fn drop(&mut self) {
-        let _ = fs::remove_file(self.directory.join(name(self.listen, self.pid)));
+        let _ = fs::remove_file(self.directory.join(file_name(self.listen, self.pid)));
     }
 }
 
