--- a/silverspindle/src/agreement/mod.rs
+++ b/silverspindle/src/agreement/mod.rs
@@ -38,7 +38,7 @@
 
 use crate::guards::without;
 use crate::links::Connector;
-use crate::steady::{DRIFT_PPM, steady};
+use crate::steady::{MAX_CLOCK_DRIFT_PPM, steady_now};
 use crate::traffic::{Attempt, Guard, Members, Message};
 
 /// Whoever leads answers by this topic with what it waits for with versions.
@@ -303,7 +303,7 @@
         let allows = self.orders.as_ref().is_none_or(|orders| {
             // Alone, with a confirmation that has run out, it takes nothing new: others may have gone on. Unless staff
             // will have it hold all work up instead.
-            (orders.holds && !self.fence.is_stopped() || self.fence.may_act(steady()).is_some())
+            (orders.holds && !self.fence.is_stopped() || self.fence.may_act(steady_now()).is_some())
                 && orders.allow(to)
                 && source.is_none_or(|s| orders.allow(s))
         });
@@ -395,18 +395,18 @@
             electors: conf.electors.iter().map(|(name, _)| name.clone()).collect(),
             operators: conf.operators.clone(),
             lease: conf.within,
-            drift_ppm: DRIFT_PPM,
+            drift_ppm: MAX_CLOCK_DRIFT_PPM,
             patience: PATIENCE * conf.within,
             seed: draw().map_err(Fault::Disk)?,
             guards: guards(),
         };
-        let node = Node::new(terms, disk, steady());
+        let node = Node::new(terms, disk, steady_now());
         let (send, inbox) = async_channel::bounded(INBOX);
         let records = conf.records.as_ref().map(|path| Records::open(path, name, me.incarnation));
         let records = records.transpose().map_err(Fault::Disk)?;
         let life = Rc::new(Cell::new(None));
         let withholds = Withholds::new(yard.director.clone());
-        let clock = (conf.within, DRIFT_PPM);
+        let clock = (conf.within, MAX_CLOCK_DRIFT_PPM);
         let (acting, rules) = match &conf.rules {
             Some(terms) => {
                 let (settings, classes) = (yard.settings.clone(), yard.classes.clone());
@@ -478,7 +478,7 @@
                 .due()
                 .min(self.lead.as_ref().map_or(u64::MAX, |lead| lead.leading.due))
                 .min(self.rules.as_ref().map_or(u64::MAX, |lead| lead.leading.due))
-                .saturating_sub(steady());
+                .saturating_sub(steady_now());
             let tick = async {
                 Timer::after(Duration::from_micros(due)).await;
                 None
@@ -489,7 +489,7 @@
                 Some(Input::Heard { from, frame: Frame::AskNote { topic } })
                     if topic == SIGHT || topic == RULES_SIGHT =>
                 {
-                    let (now, [orders, rules]) = (steady(), reports(&self.node));
+                    let (now, [orders, rules]) = (steady_now(), reports(&self.node));
                     let body = match topic == SIGHT {
                         true => self.lead.as_ref().map(|lead| lead.spelt_sight(now, &self.node, &orders)),
                         false => self.rules.as_ref().map(|lead| lead.spelt_sight(now, &self.node, &rules)),
@@ -506,7 +506,7 @@
                     Event::Propose { token: self.tokens, proposal }
                 }
             };
-            self.node.handle(steady(), event, &mut self.out);
+            self.node.handle(steady_now(), event, &mut self.out);
             if let Err(e) = self.carry_out_all().await {
                 tracing::error!("agreement: {e}; this router takes no part in it until a restart");
                 return;
@@ -529,7 +529,7 @@
                 return Ok(());
             }
             for proposal in steps.into_iter().flatten() {
-                self.node.handle(steady(), Event::Propose { token: 0, proposal }, &mut self.out);
+                self.node.handle(steady_now(), Event::Propose { token: 0, proposal }, &mut self.out);
             }
         }
     }
@@ -539,7 +539,7 @@
         if self.lead.is_none() && self.rules.is_none() {
             return [None, None];
         }
-        let (now, active) = (steady(), self.active.get());
+        let (now, active) = (steady_now(), self.active.get());
         let steps = self.lead.as_mut().is_some_and(|lead| lead.look(now, &self.node, active));
         let others = self.rules.as_mut().is_some_and(|lead| lead.look(now, &self.node, active));
         self.withholds.go_on();
@@ -718,7 +718,7 @@
     active.set(false);
     let switch = async {
         let may = |handle: &Handle| {
-            handle.fence.may_act(steady()).is_some()
+            handle.fence.may_act(steady_now()).is_some()
                 && handle.orders.as_ref().is_none_or(|orders| orders.is_member())
                 && handle.rules.as_ref().is_none_or(|rules| rules.may())
         };
--- a/silverspindle/src/agreement/orders.rs
+++ b/silverspindle/src/agreement/orders.rs
@@ -17,7 +17,7 @@
 use super::{Leading, Withholds};
 use crate::clock;
 use crate::drain::Drain;
-use crate::steady::steady;
+use crate::steady::steady_now;
 use crate::traffic::{Board, Message, Noted};
 
 /// The module's limits are looked at so often while there are orders.
@@ -273,7 +273,7 @@
             self.limits = now;
             let _ = self.yard.director.try_send(Message::Limits);
         }
-        let (unix, steady) = (clock::now(), steady());
+        let (unix, steady) = (clock::now(), steady_now());
         let members = self.yard.board.members();
         let in_orders: BTreeSet<MemberId> = work.stages.keys().filter_map(number).collect();
         let places: BTreeSet<u32> =
--- a/silverspindle/src/agreement/records.rs
+++ b/silverspindle/src/agreement/records.rs
@@ -11,7 +11,7 @@
 use silverspindle_agreement::Fence;
 use silverspindle_rules::Group;
 
-use crate::steady::steady;
+use crate::steady::steady_now;
 
 /// Acts nearer to each other are one record, as are times without a confirmation.
 const APART: Micros = 5_000;
@@ -45,13 +45,13 @@
     pub fn applied(&self, number: u64, digest: u64, outcome: Option<(String, bool)>) {
         let (id, made) = outcome.map_or((None, None), |(id, made)| (Some(id), Some(made)));
         self.line(&json!({"kind": "applied", "router": self.router, "life": self.life, "number": number,
-            "digest": format!("{digest:016x}"), "at": steady(), "id": id, "made": made}));
+            "digest": format!("{digest:016x}"), "at": steady_now(), "id": id, "made": made}));
     }
 
     /// An attempt goes out: on which number the router acts, if on any, on which versions of the rules, and with which
     /// share.
     pub fn act(&self, fence: &Fence, rules: Option<(Group, u32)>) {
-        let now = steady();
+        let now = steady_now();
         let may = fence.may_act(now);
         let (at, number, group) = self.last.get();
         let of = rules.map(|(of, _)| of);
--- a/silverspindle/src/agreement/rules.rs
+++ b/silverspindle/src/agreement/rules.rs
@@ -13,7 +13,7 @@
 };
 
 use super::{Leading, Withholds};
-use crate::steady::steady;
+use crate::steady::steady_now;
 use crate::traffic::{Attempt, Members, Message, OFFICE_TOKEN, PARENT_TOKEN};
 
 /// What it asks for is counted over so long.
@@ -78,13 +78,13 @@
 
     /// Which versions it acts on, as records and lines name them, and its share.
     pub fn of(&self) -> (Group, u32) {
-        (self.of.get(), self.part(steady()))
+        (self.of.get(), self.part(steady_now()))
     }
 
     /// Whether it may act on anything now.
     pub fn may(&self) -> bool {
         let alone = self.rules.borrow().alone_serve && !self.fence.is_stopped();
-        self.stands.get() && (alone || self.fence.may_act(steady()).is_some())
+        self.stands.get() && (alone || self.fence.may_act(steady_now()).is_some())
     }
 
     /// Alone it has no share: others may have been given it.
@@ -123,7 +123,7 @@
             return false;
         }
         // A parent that lacks it asks the head office: whatever names a source may end there.
-        let now = steady();
+        let now = steady_now();
         let part = u64::from(self.part(now));
         let parent = known.is_some_and(|noted| Some(noted.kind) == self.settings.parent_kind);
         let limits = [rules.office_fills, rules.parent_fills.filter(|_| parent)];
--- a/silverspindle/src/coordinator.rs
+++ b/silverspindle/src/coordinator.rs
@@ -15,7 +15,7 @@
 
 use crate::feed::{self, Event, News};
 use crate::framing::Messages;
-use crate::steady::steady;
+use crate::steady::steady_now;
 
 /// An empty frame comes each second: without any for so long the coordinator has stopped. All counts as told 7 s after,
 /// heard or not: that leaves time for three connections in a row that fall silent at once.
@@ -133,7 +133,7 @@
         tracing::info!(event = self.last, "coordinator {}: following", self.address);
         let mut frames = Messages::new(&stream, feed::measure, CHUNK).or_stall(STALL);
         // The time since when nothing is left unread: what comes then was not there yet, however late it is read.
-        let mut empty = steady();
+        let mut empty = steady_now();
         loop {
             let Some(frame) = within(SILENT, looking(S::TIMED, frames.next(), &mut empty)).await? else {
                 return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "closed"));
@@ -173,7 +173,7 @@
     }
     let mut read = pin!(read);
     loop {
-        let began = steady();
+        let began = steady_now();
         if let Some(done) = future::poll_once(&mut read).await {
             return done;
         }
--- a/silverspindle/src/counters.rs
+++ b/silverspindle/src/counters.rs
@@ -20,7 +20,7 @@
     /// Closed by a drain or by the shutdown of the process.
     Drained,
     /// Closed to make room for clients that wait to be accepted.
-    Room,
+    MakeRoom,
     /// The bytes received could not be decoded.
     Malformed,
     /// The answers that wait to be written exceeded the memory limit.
@@ -37,7 +37,7 @@
             CloseReason::Idle => "idle",
             CloseReason::HalfMessage => "half_message",
             CloseReason::Drained => "drained",
-            CloseReason::Room => "room",
+            CloseReason::MakeRoom => "room",
             CloseReason::Malformed => "malformed",
             CloseReason::Memory => "memory",
             CloseReason::Stalled => "stalled",
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -6,7 +6,7 @@
 use super::Director;
 use crate::clock::Stamp;
 use crate::feed::Purged;
-use crate::steady::steady;
+use crate::steady::steady_now;
 use crate::traffic::Notice;
 
 /// Interval in which the module is told the maximum copy age while the feed's lease has run out, in
@@ -42,7 +42,7 @@
             self.told_stale = None;
             return;
         };
-        let now = steady();
+        let now = steady_now();
         if self.told_stale.is_none_or(|told| now >= told + TELL_STALE) {
             self.told_stale = Some(now);
             let age = oldest.saturating_sub(TELL_STALE);
--- a/silverspindle/src/distribution/actor.rs
+++ b/silverspindle/src/distribution/actor.rs
@@ -21,7 +21,7 @@
 use crate::coordinator::{Coordinator, Sink, Told};
 use crate::feed::News;
 use crate::links::Connector;
-use crate::steady::steady;
+use crate::steady::steady_now;
 use crate::traffic::Notice;
 
 /// Events of the coordinator's that may wait to be taken in.
@@ -133,11 +133,11 @@
     }
 
     fn handle(&mut self, event: Event) {
-        self.node.handle(steady(), event, &mut self.out);
+        self.node.handle(steady_now(), event, &mut self.out);
     }
 
     fn handle_due(&mut self) {
-        if self.node.due() <= steady() {
+        if self.node.due() <= steady_now() {
             self.handle(Event::Tick);
         }
     }
@@ -148,7 +148,7 @@
         let applied = receive(Some(&self.applied), |()| Input::Applied);
         let moved = receive(Some(&self.moves), Input::Moved);
         let child = receive(Some(&self.from_children), Input::Child);
-        let due = Duration::from_micros(self.node.due().saturating_sub(steady()));
+        let due = Duration::from_micros(self.node.due().saturating_sub(steady_now()));
         let due = async {
             Timer::after(due).await;
             Input::Due
@@ -296,7 +296,7 @@
         let mut new = records.into_iter().filter(|record| record.number > self.known).peekable();
         let Some(after) = new.peek().map(|record| record.number - 1) else {
             // It was there before the start.
-            self.node.handle(steady(), Event::Applied { number }, &mut self.out);
+            self.node.handle(steady_now(), Event::Applied { number }, &mut self.out);
             return true;
         };
         for record in new {
--- a/silverspindle/src/distribution/lease.rs
+++ b/silverspindle/src/distribution/lease.rs
@@ -6,7 +6,7 @@
 use silverspindle_relay::{FeedGuard, Mode};
 
 use super::records::Records;
-use crate::steady::steady;
+use crate::steady::steady_now;
 use crate::traffic::{Attempt, Freshness, Lease};
 
 /// The feed, shared between the board and the actor.
@@ -35,7 +35,7 @@
 
     /// Says by which reading the router acts, where that has changed.
     pub fn say_mode(&self) {
-        let feed = self.guard.read(steady());
+        let feed = self.guard.read(steady_now());
         self.say(feed.mode, feed.age);
     }
 
@@ -71,7 +71,7 @@
 
 impl Lease for Feed {
     fn look(&self) -> Freshness {
-        let at = steady();
+        let at = steady_now();
         let feed = self.guard.read(at);
         Freshness { at, age: feed.age, oldest: feed.max_copy_age }
     }
--- a/silverspindle/src/distribution/limited.rs
+++ b/silverspindle/src/distribution/limited.rs
@@ -6,7 +6,7 @@
 
 use bitternhold::Micros;
 
-use crate::steady::steady;
+use crate::steady::steady_now;
 
 /// A peer's fault is said again after so long.
 const AGAIN: Micros = 10_000_000;
@@ -20,7 +20,7 @@
 impl Limited {
     /// Says what a peer did, unless something was said of it shortly before.
     pub fn warn(&self, peer: &str, what: impl Display) {
-        let (mut said, now) = (self.0.borrow_mut(), steady());
+        let (mut said, now) = (self.0.borrow_mut(), steady_now());
         if said.get(peer).is_some_and(|at| now < at + AGAIN) {
             return;
         }
--- a/silverspindle/src/distribution/mod.rs
+++ b/silverspindle/src/distribution/mod.rs
@@ -31,7 +31,7 @@
 use crate::feed::Event as Told;
 use crate::guards::without;
 use crate::links::{Connector, Service};
-use crate::steady::{DRIFT_PPM, steady};
+use crate::steady::{MAX_CLOCK_DRIFT_PPM, steady_now};
 use crate::traffic::{Board, Notice};
 
 /// Connections besides the children's: staff, and children that come back before their old connection has ended.
@@ -96,7 +96,7 @@
         parents: conf.parents.len(),
         lease: conf.within,
         direct_lease: conf.direct,
-        drift_ppm: DRIFT_PPM,
+        drift_ppm: MAX_CLOCK_DRIFT_PPM,
         batch_every: conf.batch,
         report_every: conf.report,
         children: conf.children,
@@ -110,7 +110,7 @@
 /// children's connections, where it does.
 pub fn start(conf: Conf, around: Surroundings) -> Result<Option<Rc<dyn Service>>, String> {
     let settings = settings(&conf, around.me, &around.name)?;
-    let now = steady();
+    let now = steady_now();
     let records =
         conf.records_file.as_ref().map(|path| Records::open(path, &around.name, around.me.incarnation));
     let records = records.transpose()?;
--- a/silverspindle/src/distribution/records.rs
+++ b/silverspindle/src/distribution/records.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use silverspindle_relay::Mode;
 
-use crate::steady::steady;
+use crate::steady::steady_now;
 use crate::traffic::{Attempt, Freshness};
 
 fn word(mode: Mode) -> &'static str {
@@ -41,7 +41,7 @@
         fields["router"] = self.router.as_str().into();
         fields["life"] = self.life.into();
         if fields["at"].is_null() {
-            fields["at"] = steady().into();
+            fields["at"] = steady_now().into();
         }
         // One write a line: a kill leaves whole lines, but for the last.
         if let Err(e) = self.file.borrow_mut().write_all(format!("{fields}\n").as_bytes()) {
--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -406,7 +406,7 @@
         }
         match (drained && !half, room && !half, idle) {
             (true, ..) => Some(CloseReason::Drained),
-            (_, true, _) => Some(CloseReason::Room),
+            (_, true, _) => Some(CloseReason::MakeRoom),
             (.., true) => Some(CloseReason::Idle),
             _ => None,
         }
--- a/silverspindle/src/hollow.rs
+++ b/silverspindle/src/hollow.rs
@@ -27,7 +27,7 @@
 use crate::clock;
 use crate::knowledge::keys::{self, Tls};
 use crate::links::{self, CONNECT, HANDSHAKE, within};
-use crate::steady::{DRIFT_PPM, steady};
+use crate::steady::{MAX_CLOCK_DRIFT_PPM, steady_now};
 
 /// Days that its certificates hold.
 const DAYS: u32 = 1;
@@ -66,7 +66,7 @@
         }
         let least = applied.iter().copied().min().unwrap_or(0);
         if least > self.least.replace(least) {
-            self.since.set(steady());
+            self.since.set(steady_now());
             let _ = self.changed.try_send(());
         }
     }
@@ -76,7 +76,7 @@
         loop {
             let quiet = async {
                 Timer::after(WORD_EVERY).await;
-                steady()
+                steady_now()
             };
             let change = async {
                 let _ = changes.recv().await;
@@ -200,7 +200,7 @@
         let mut event = Event::Tick;
         loop {
             self.handle(event);
-            let wait = Duration::from_micros(self.node.due().saturating_sub(steady()));
+            let wait = Duration::from_micros(self.node.due().saturating_sub(steady_now()));
             let tick = async {
                 Timer::after(wait).await;
                 Event::Tick
@@ -212,7 +212,7 @@
     fn handle(&mut self, event: Event) {
         let (mut events, mut actions) = (vec![event], Vec::new());
         while let Some(event) = events.pop() {
-            self.node.handle(steady(), event, &mut actions);
+            self.node.handle(steady_now(), event, &mut actions);
             events.extend(actions.drain(..).filter_map(|action| self.act(action)));
         }
     }
@@ -263,7 +263,7 @@
         parents: conf.parents.len(),
         lease: conf.within,
         direct_lease: conf.direct,
-        drift_ppm: DRIFT_PPM,
+        drift_ppm: MAX_CLOCK_DRIFT_PPM,
         batch_every: conf.batch,
         report_every: conf.report,
         children: 0,
@@ -299,7 +299,7 @@
     if !parents.is_empty() {
         parents.rotate_left(number % conf.parents.len());
     }
-    let node = Node::new(settings(conf, name, me), KNOWN, steady());
+    let node = Node::new(settings(conf, name, me), KNOWN, steady_now());
     let connector = Rc::new(Connector { me, tls, parents, totals: totals.clone() });
     let (events, heard) = async_channel::unbounded();
     Ok((Router { index, node, connector, tasks: tasks.clone(), events, connection: None }, heard))
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -287,7 +287,7 @@
     }
 
     /// Number of client connections currently open.
-    pub fn clients(&self) -> usize {
+    pub fn client_connections(&self) -> usize {
         self.front.held().0
     }
 
@@ -325,7 +325,7 @@
 
     /// Shuts down: reports not ready, keeps serving the clients that still connect, and returns once every
     /// request has its answer.
-    pub async fn end(&self) {
+    pub async fn shut_down(&self) {
         self.drain.borrow_mut().end(clock::now());
         let _ = self.front.nudger().try_send(());
         if self.process_file.as_ref().is_some_and(|process_file| process_file.has_successor()) {
@@ -461,7 +461,7 @@
             let (config, conf) = read_again();
             router.reload(config, conf).await;
         }
-        router.end().await;
+        router.shut_down().await;
         tracing::info!("ended: all is answered; {} invariants broken", invariant::violations());
     };
     async_io::block_on(tasks.run(run));
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -12,7 +12,7 @@
 use super::Attempt;
 use crate::clock::{Clock, Stamp};
 use crate::feed::{News, Purged};
-use crate::steady::steady;
+use crate::steady::steady_now;
 
 /// A member as the coordinator lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -206,7 +206,7 @@
             let members = members.map(|id| id.0 as u32).collect();
             // On the steady clock: setting the Unix clock must not end the time in which an attempt may be
             // open.
-            let (now, left) = (steady(), attempt.until.saturating_sub(self.clock.now()));
+            let (now, left) = (steady_now(), attempt.until.saturating_sub(self.clock.now()));
             ledger.begin(now, attempt.ticket, members, now + left);
         }
     }
@@ -219,7 +219,7 @@
         }
         if let Some(ledger) = &mut *self.ledger.borrow_mut() {
             let whole = !attempt.written.get() || (answered && !attempt.terms.mode.renew);
-            ledger.end(steady(), attempt.ticket, whole);
+            ledger.end(steady_now(), attempt.ticket, whole);
         }
     }
 
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -430,7 +430,7 @@
         };
         coordinator.accept().await.unwrap();
         assert!(open() <= before + 8, "descriptors grow");
-        let held = router.clients();
+        let held = router.client_connections();
         assert!(held <= silverspindle::front::most_clients(64), "{held} connections of clients");
     });
 }
--- a/silverspindle/tests/crossing_lists.rs
+++ b/silverspindle/tests/crossing_lists.rs
@@ -9,7 +9,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use silverspindle::coordinator::{Coordinator, Sink, Told};
 use silverspindle::feed::News;
-use silverspindle::steady::steady;
+use silverspindle::steady::steady_now;
 
 struct Feed {
     listener: Async<std::net::TcpListener>,
@@ -174,10 +174,10 @@
         tasks.spawn(actor.run()).detach();
         let (stream, _) = asked(&listener).await;
         (&stream).write_all(&event(1, 0, b"")).await.unwrap();
-        let began = steady();
+        let began = steady_now();
         assert!(told.recv().await.unwrap().after <= began);
         // Nothing else runs on this thread meanwhile.
-        let came = steady();
+        let came = steady_now();
         std::io::Write::write_all(&mut stream.get_ref(), &event(1, 0, b"")).unwrap();
         std::thread::sleep(std::time::Duration::from_millis(300));
         assert!(told.recv().await.unwrap().after <= came);
--- a/silverspindle/tests/router.rs
+++ b/silverspindle/tests/router.rs
@@ -350,7 +350,7 @@
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
             assert_eq!(client.next().await.unwrap(), served(1, b"a"));
         };
-        both(router.end(), client_script).await;
+        both(router.shut_down(), client_script).await;
     });
 }
 
@@ -493,6 +493,6 @@
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
             assert_eq!(client.next().await.unwrap(), served(1, b"a"));
         };
-        both(router.end(), client_script).await;
+        both(router.shut_down(), client_script).await;
     });
 }
