--- a/silverspindle/src/config.rs
+++ b/silverspindle/src/config.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use serde_json::Value;
 use silverspindle_conf::Conf;
 use tracing::level_filters::LevelFilter;
@@ -48,7 +48,7 @@
     /// copies.
     pub link_bytes_per_s: f64,
     /// The settings of the site.
-    pub catalogue: Catalogue,
+    pub site: SiteSettings,
     /// The events of the key `known`, preceded by the number of the last one.
     pub known: (u64, Vec<feed::Event>),
     /// Log level.
@@ -186,10 +186,10 @@
             collected.extend(fault::<()>("settings", "must be an object").err());
             return Err(faults);
         };
-        let (catalogue, notes) = read_site(settings, collected);
+        let (site, notes) = read_site(settings, collected);
         let known = match &file["known"] {
             Value::Null => Ok((0, Vec::new())),
-            value => feed::known(value, &catalogue).or_else(|e| {
+            value => feed::parse_known(value, &site).or_else(|e| {
                 let (key, problem) = e.split_once(": ").unwrap_or((&e, "malformed"));
                 fault(key, problem)
             }),
@@ -208,7 +208,7 @@
             memory: (memory * 1e6) as usize,
             flow_bytes_per_s,
             link_bytes_per_s,
-            catalogue,
+            site,
             known,
             level,
             json_logs,
@@ -260,25 +260,25 @@
 fn read_site(
     settings: &serde_json::Map<String, Value>,
     faults: &mut Vec<String>,
-) -> (Catalogue, Vec<String>) {
-    let mut catalogue = Catalogue::read(settings);
+) -> (SiteSettings, Vec<String>) {
+    let mut site = SiteSettings::parse(settings);
     let mut report =
         |key: &str, problem: &str| faults.extend(fault::<()>(&format!("settings.{key}"), problem).err());
-    if catalogue.classes.is_empty() {
+    if site.classes.is_empty() {
         report("classes", "must list at least one class");
     }
-    for (i, class) in catalogue.settings.classes.iter().enumerate() {
-        if catalogue.classes[i].is_empty() {
+    for (i, class) in site.settings.classes.iter().enumerate() {
+        if site.classes[i].is_empty() {
             report(&format!("classes[{i}].name"), "is missing");
         }
         if class.deadline == 0 {
             report(&format!("classes[{i}].deadline_ms"), "must be greater than 0");
         }
     }
-    if catalogue.settings.zone == usize::MAX {
+    if site.settings.zone == usize::MAX {
         report("my_zone", "must be one of settings.failure_domains");
     }
-    if catalogue.settings.origin_kind.is_none() {
+    if site.settings.origin_kind.is_none() {
         report("family_info.root_kind", "must be an index into settings.kinds");
     }
     let value =
@@ -311,8 +311,8 @@
         }
     }
     let or_default = |configured: u64, default: u64| if configured > 0 { configured } else { default };
-    catalogue.settings.connect_timeout = or_default(catalogue.settings.connect_timeout, 400_000);
-    catalogue.idle_close = or_default(catalogue.idle_close, 30_000_000);
-    catalogue.streams_per_conn = or_default(catalogue.streams_per_conn as u64, 32) as usize;
-    (catalogue, notes)
+    site.settings.connect_timeout = or_default(site.settings.connect_timeout, 400_000);
+    site.idle_close = or_default(site.idle_close, 30_000_000);
+    site.streams_per_conn = or_default(site.streams_per_conn as u64, 32) as usize;
+    (site, notes)
 }
--- a/silverspindle/src/director/own_copies.rs
+++ b/silverspindle/src/director/own_copies.rs
@@ -9,7 +9,7 @@
 use crate::clock::Stamp;
 use crate::copies::Copy;
 use crate::counters::CopyLoss;
-use crate::feed::Purged;
+use crate::feed::PurgeTarget;
 use crate::guards::OWN_COPY_LOSS;
 use crate::traffic::{Call, End, Refusal, SafeToRetry, Verdict};
 
@@ -43,7 +43,8 @@
         let unproven = SafeToRetry::unproven(OWN_COPY_LOSS);
         let counts_to = if unproven.is_some() { now } else { open.came };
         let age = |copy: &Copy| self.skew.copy_age(counts_to, copy.stamp);
-        let good = |copy: &Copy| terms.is_some_and(|c| c.fresh == 0 || age(copy) < c.fresh + c.stale);
+        let good =
+            |copy: &Copy| terms.is_some_and(|c| c.fresh_for == 0 || age(copy) < c.fresh_for + c.stale_for);
         let loss = match &open.own {
             None => CopyLoss::Purged,
             Some(copy) if !good(copy) => CopyLoss::Aged,
@@ -67,7 +68,7 @@
     }
 
     /// Makes open requests release the own copies that a purge applies to.
-    pub(super) fn drop_offered(&mut self, what: Purged, at: Stamp) {
+    pub(super) fn drop_offered(&mut self, what: PurgeTarget, at: Stamp) {
         for open in self.requests.values_mut() {
             let (call, own) = (&open.call, &mut open.own);
             *own = own.take().filter(|copy| !call.key().is_some_and(|key| copy.falls_to(key, what, at)));
--- a/silverspindle/src/main.rs
+++ b/silverspindle/src/main.rs
@@ -358,7 +358,7 @@
             let config =
                 Config::read_all(&environment).map_err(|faults| -> Vec<String> { prefixed(faults) })?;
             config.notes.iter().for_each(|note| println!("{note}"));
-            let (classes, last_event) = (config.catalogue.classes.join(", "), config.known.0);
+            let (classes, last_event) = (config.site.classes.join(", "), config.known.0);
             println!(
                 "{} on {}: classes {classes}; list known to event {last_event}",
                 config.name, config.listen
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -91,7 +91,7 @@
         let listener = Async::new(bind_shared(config.listen)?)?;
         let management = config.management.map(Async::<TcpListener>::bind).transpose()?;
         let address = listener.get_ref().local_addr()?;
-        let catalogue = Rc::new(config.catalogue);
+        let site = Rc::new(config.site);
         let (mailbox, mailbox_receiver) = async_channel::bounded(director::MAILBOX);
         let (notice_sender, notices) = async_channel::bounded(director::MAILBOX);
         let exchange_descriptors = conf.exchange.as_ref().map_or(0, exchange::descriptors);
@@ -116,7 +116,7 @@
         }
         let descriptors = Descriptors::new(peer_descriptors);
         let shared = Rc::new(Shared {
-            catalogue: catalogue.clone(),
+            site: site.clone(),
             board: board.clone(),
             descriptors: descriptors.clone(),
             director: mailbox.clone(),
@@ -129,18 +129,17 @@
             config.link_bytes_per_s,
         );
         let uses_knowledge = conf.exchange.is_some() || conf.snapshot.is_some();
-        let knowledge =
-            uses_knowledge.then(|| Knowledge::new(&config.name, conf.half_lives, &catalogue.settings));
+        let knowledge = uses_knowledge.then(|| Knowledge::new(&config.name, conf.half_lives, &site.settings));
         let identity = knowledge.as_ref().map(|k| (k.me, k.steady));
         let mut director =
             Director::new(config.seed, shared, open_requests.clone(), copies).with_knowledge(knowledge);
         let (last_event, known) = config.known;
-        let purge_cleared_after = catalogue.settings.purge_done + catalogue.settings.purge_grace;
+        let purge_cleared_after = site.settings.purge_complete_within + site.settings.purge_grace;
         let known_for_relay = conf.relay.as_ref().map(|_| known.clone());
-        known.into_iter().for_each(|event| director.news(event.news, ListKind::Cached));
+        known.into_iter().for_each(|event| director.news(event.update, ListKind::Cached));
         if let Some((snapshot, (me, _))) = conf.snapshot.clone().zip(identity) {
             let path = snapshots::path(&snapshot.directory, me.instance);
-            match snapshots::read(&path, me.instance, snapshot.most) {
+            match snapshots::read(&path, me.instance, snapshot.max_size) {
                 Ok(None) => tracing::info!("no snapshot found"),
                 Ok(Some((age, items))) => {
                     tracing::info!("snapshot loaded: {} items, {} ms old", items.len(), age / 1000);
@@ -162,10 +161,9 @@
             tasks.spawn(new_hub.clone().watch()).detach();
             hub = Some(new_hub);
         }
-        let longest_deadline = catalogue.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let drain = Rc::new(RefCell::new(Drain::new().with_longest(longest_deadline)));
-        let front =
-            Front::new(catalogue.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
+        let longest_deadline = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let drain = Rc::new(RefCell::new(Drain::new().with_longest_deadline(longest_deadline)));
+        let front = Front::new(site.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
         director.count_in(front.counters());
         let agreement_handle: Rc<RefCell<Option<agreement::Handle>>> = Rc::default();
         if let Some(terms) = conf.agreement.clone() {
@@ -182,19 +180,19 @@
             let yard = agreement::Yard {
                 board: board.clone(),
                 director: mailbox.clone(),
-                settings: catalogue.settings.clone(),
-                classes: catalogue.classes.clone(),
+                settings: site.settings.clone(),
+                classes: site.classes.clone(),
                 drain: drain.clone(),
                 nudge: front.nudger(),
                 owes: Rc::new(move || open_requests.get() > 0 || !own_front.flushed()),
             };
             if terms.work.is_some() {
                 board.wait_for_orders();
-                drain.borrow_mut().alone(terms.work.is_some_and(|work| !work.hold));
+                drain.borrow_mut().set_alone(terms.work.is_some_and(|work| !work.hold));
             }
             if terms.rules.is_some() {
                 board.wait();
-                drain.borrow_mut().alone(true);
+                drain.borrow_mut().set_alone(true);
             }
             let (hub, board, current) = (hub.clone(), board.clone(), agreement_handle.clone());
             let on_ready = move |handle: agreement::Handle| {
@@ -335,7 +333,7 @@
         let mut last_log = clock::now();
         // The listener is closed once no new clients are expected; connections in its queue are accepted,
         // read and answered first.
-        let accept_until = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::LINGER);
+        let accept_until = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::ARRIVAL_WINDOW);
         while !self.drain.borrow().may_exit(clock::now(), self.open_requests.get(), self.front.settled()) {
             if clock::now() >= accept_until {
                 self.front.stop_accepting();
--- a/silverspindle/src/traffic.rs
+++ b/silverspindle/src/traffic.rs
@@ -12,7 +12,7 @@
 
 use async_channel::Sender;
 use async_executor::LocalExecutor;
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use bitternhold::{FillMode, Keep, Load, MemberId, Micros, Note, Status};
 use bytes::Bytes;
 use silverspindle_conf::HalfLives;
@@ -20,7 +20,7 @@
 
 use crate::clock::Stamp;
 use crate::copies;
-use crate::feed::hex;
+use crate::feed::parse_hex_id;
 use crate::{clock, resp};
 
 pub use account::{Account, Refusal, SafeToRetry};
@@ -62,7 +62,7 @@
 impl Call {
     /// The object id as a number, as purges name it.
     pub fn key(&self) -> Option<u64> {
-        hex(&self.object)
+        parse_hex_id(&self.object)
     }
 
     /// The key under which a copy that answers it is kept.
@@ -309,7 +309,7 @@
 
 impl Attempt {
     /// Encodes the attempt as a command to the member.
-    pub(crate) fn command(&self, names: &Catalogue) -> Vec<u8> {
+    pub(crate) fn command(&self, names: &SiteSettings) -> Vec<u8> {
         let call = &*self.call;
         let class = names.classes.get(call.class).map_or("", String::as_str);
         // Times are rounded down, to a shorter wait and a younger copy, but not to 0, which would mean the
@@ -348,7 +348,7 @@
         if let Some(tag) = &call.cached {
             put("holds", tag);
         }
-        resp::command(&[b"want", call.rid.as_bytes(), fields.as_bytes(), &call.body])
+        resp::encode_array(&[b"want", call.rid.as_bytes(), fields.as_bytes(), &call.body])
     }
 }
 
@@ -382,7 +382,7 @@
 #[derive(Debug)]
 pub struct Shared {
     /// The settings.
-    pub catalogue: Rc<Catalogue>,
+    pub site: Rc<SiteSettings>,
     /// Latest state of the members, the purges and the agreed rules.
     pub board: Rc<Board>,
     /// Budget of file descriptors for connections to peers.
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -9,14 +9,14 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use bitternhold::{Effect, Load, MemberId, Micros, Status};
+use bitternhold::{Idempotency, Load, MemberId, Micros, Status};
 use bytes::Bytes;
 use futures_lite::{AsyncWriteExt, future};
 use rustix::io::Errno;
 
 use crate::clock;
-use crate::framing::Messages;
-use crate::resp::{self, Word};
+use crate::framing::MessageReader;
+use crate::resp::{self, AnswerCode};
 use crate::traffic::{Attempt, Descriptor, End, Message, Shared};
 
 /// Capacity of an actor's mailbox. Where it is full the director counts the attempt as never sent.
@@ -157,10 +157,10 @@
 
     async fn run(mut self) {
         // The sweep is due by the clock and not after an idle moment: a steady flow of messages must not postpone it.
-        let sweep_every = SWEEP.min(self.shared.catalogue.idle_close / IDLE_PART).max(SWEEP_LEAST);
+        let sweep_every = SWEEP.min(self.shared.site.idle_close / IDLE_PART).max(SWEEP_LEAST);
         let mut due = clock::now() + sweep_every;
         loop {
-            let timer = clock::at(due);
+            let timer = clock::timer_at(due);
             let sweep = async {
                 timer.await;
                 None
@@ -270,11 +270,12 @@
     /// told apart. A connection that the peer may be about to close is not chosen, with a wider margin for classes that
     /// may not be repeated.
     fn line_for(&mut self, id: &[u8], attempt: Option<&Attempt>) -> Option<u64> {
-        let streams = self.shared.catalogue.streams_per_conn;
+        let streams = self.shared.site.streams_per_conn;
         let (now, idle, me) = (clock::now(), self.idle(), self.id);
-        let classes = &self.shared.catalogue.settings.classes;
-        let once =
-            attempt.is_some_and(|a| classes.get(a.call.class).is_none_or(|c| c.effect == Effect::AtMostOnce));
+        let classes = &self.shared.site.settings.classes;
+        let once = attempt.is_some_and(|a| {
+            classes.get(a.call.class).is_none_or(|c| c.idempotency == Idempotency::AtMostOnce)
+        });
         let idle = if once { idle / 4 } else { idle };
         let takes = |n: u64, l: &Line| {
             l.streams.len() < streams
@@ -291,7 +292,7 @@
         let found = able.min_by_key(|(n, l)| (l.streams.len(), !l.up, **n));
         let found = found.map(|(n, l)| (*n, l.streams.len()));
         let plenty = self.shared.descriptors.are_plenty();
-        let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.catalogue.handshake_price;
+        let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.site.handshake_cost;
         match found {
             Some((n, streams)) if streams == 0 || !plenty || cheaper(streams) => return Some(n),
             _ => {}
@@ -354,7 +355,7 @@
         let tag = Bytes::from(format!("probe-{}", self.next_probe));
         let line = if self.retired { None } else { self.line_for(&tag, None) };
         let sent = line.and_then(|n| self.lines.get_mut(&n)).is_some_and(|line| {
-            let command = Command::Plain(resp::command(&[b"busy", &tag]));
+            let command = Command::Plain(resp::encode_array(&[b"busy", &tag]));
             line.streams.insert(tag, Stream::Probe(clock::now()));
             line.commands.try_send(command).is_ok()
         });
@@ -383,7 +384,7 @@
         };
         line.streams.remove(id);
         if attempt.written.get() {
-            let _ = line.commands.try_send(Command::Plain(resp::command(&[b"never_mind", id])));
+            let _ = line.commands.try_send(Command::Plain(resp::encode_array(&[b"never_mind", id])));
             line.crossing.insert(Bytes::copy_from_slice(id), clock::now());
         }
         // Guards against a machine that is cut off from the network: its connections stay open but silent. New attempts
@@ -413,17 +414,20 @@
         match stream {
             Stream::Probe(since) => {
                 let elapsed = now.saturating_sub(since);
-                self.probed(answer.word.status(), elapsed, answer.load).await;
+                self.probed(answer.code.status(), elapsed, answer.load).await;
             }
             Stream::Attempt(attempt, _) => {
                 // The answer to a write is not a copy and has no name.
-                let classes = &self.shared.catalogue.settings.classes;
-                let whole = answer.name.is_some() || classes.get(attempt.call.class).is_some_and(|c| c.write);
-                let body = match answer.word {
-                    Word::Hit if whole => Some(frame.slice_ref(answer.body)),
+                let classes = &self.shared.site.settings.classes;
+                let whole =
+                    answer.version.is_some() || classes.get(attempt.call.class).is_some_and(|c| c.write);
+                let body = match answer.code {
+                    AnswerCode::Hit if whole => Some(frame.slice_ref(answer.body)),
                     // The client's copy is current only if the cache names that same copy.
-                    Word::Valid if answer.name.is_some_and(|(tag, _)| attempt.call.holds(tag)) => None,
-                    Word::Hit | Word::Valid | Word::Pong | Word::Sick => {
+                    AnswerCode::Valid if answer.version.is_some_and(|(tag, _)| attempt.call.holds(tag)) => {
+                        None
+                    }
+                    AnswerCode::Hit | AnswerCode::Valid | AnswerCode::Pong | AnswerCode::Sick => {
                         // Put back, so that the attempt ends together with the connection.
                         let id = Bytes::copy_from_slice(answer.id);
                         line.streams.insert(id, Stream::Attempt(attempt, now));
@@ -433,9 +437,9 @@
                     }
                     _ => None,
                 };
-                let (status, note) = (answer.word.status(), answer.note);
+                let (status, note) = (answer.code.status(), answer.note);
                 let (waited, load) = (answer.waited, answer.load);
-                let name = answer.name.map(|(tag, stamp)| (frame.slice_ref(tag), stamp));
+                let name = answer.version.map(|(tag, stamp)| (frame.slice_ref(tag), stamp));
                 self.end(End { ticket: attempt.ticket, status, note, waited, load, body, name }).await;
             }
         }
@@ -480,7 +484,7 @@
     /// Idle time after which a connection is closed: less than the peer's idle timeout, so that no request crosses the
     /// peer's close.
     fn idle(&self) -> Micros {
-        let told = self.shared.catalogue.idle_close;
+        let told = self.shared.site.idle_close;
         told - (told / IDLE_PART).max(IDLE_MARGIN).min(told / 2)
     }
 
@@ -524,18 +528,20 @@
 
     async fn serve(&self) -> Result<std::convert::Infallible, io::Error> {
         let late = async {
-            Timer::after(Duration::from_micros(self.shared.catalogue.settings.connect_timeout)).await;
+            Timer::after(Duration::from_micros(self.shared.site.settings.connect_timeout)).await;
             Err(io::Error::new(io::ErrorKind::TimedOut, "connect timed out"))
         };
         let stream = Rc::new(future::or(Async::<TcpStream>::connect(self.address), late).await?);
         let _ = stream.get_ref().set_nodelay(true);
         self.actor.send(Order::Up(self.line, stream.clone())).await.map_err(gone)?;
         let stream = &*stream;
-        let classes = &self.shared.catalogue.settings.classes;
+        let classes = &self.shared.site.settings.classes;
         let longest = Duration::from_micros(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
         let read = async {
             // No client waits longer than the longest deadline, so an answer that trickles on is cut off then.
-            let mut answers = Messages::new(stream, resp::measure, CHUNK).or_stall(STALL).within(longest);
+            let mut answers = MessageReader::new(stream, resp::measure, CHUNK)
+                .with_stall_timeout(STALL)
+                .with_message_timeout(longest);
             while let Some(frame) = answers.next().await? {
                 self.actor.send(Order::Answer(self.line, frame)).await.map_err(gone)?;
             }
@@ -579,7 +585,7 @@
                 self.actor.send(Order::Unwritten(self.line, attempt.clone())).await.map_err(gone)?;
                 return Ok(None);
             }
-            let bytes = attempt.command(&self.shared.catalogue);
+            let bytes = attempt.command(&self.shared.site);
             match stream.get_ref().write(&bytes) {
                 Ok(written) => {
                     attempt.written.set(true);
--- a/silverspindle/tests/crossing_peers.rs
+++ b/silverspindle/tests/crossing_peers.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use bitternhold::Status;
 use bytes::Bytes;
-use common::world::{PEER, SOURCE, World};
+use common::world::{ActorHarness, PEER, SOURCE};
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use serde_json::json;
@@ -75,7 +75,7 @@
 /// source may become unusable, or the attempt may be abandoned. It must not be written then.
 #[test]
 fn an_attempt_that_became_obsolete_while_connecting_is_never_written() {
-    let overtake: [fn(&World, &Attempt); 4] = [
+    let overtake: [fn(&ActorHarness, &Attempt); 4] = [
         |world, _| world.client.gone.set(true),
         |_, attempt| attempt.call.over.set(true),
         |world, _| world.shared.board.set_ready(SOURCE, false),
@@ -83,7 +83,7 @@
     ];
     for (n, overtake) in overtake.into_iter().enumerate() {
         run(async |tasks| {
-            let world = World::with(tasks, 9, &slow_dials());
+            let world = ActorHarness::with(tasks, 9, &slow_dials());
             let gate = Gate::closed();
             let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
             let attempt = world.attempt(1, RID);
@@ -104,7 +104,7 @@
 #[test]
 fn a_repeat_is_not_written_after_its_window() {
     run(async |tasks| {
-        let world = World::with(tasks, 9, &slow_dials());
+        let world = ActorHarness::with(tasks, 9, &slow_dials());
         let gate = Gate::closed();
         let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
         let mut attempt = Rc::into_inner(world.attempt(1, RID)).unwrap();
@@ -157,7 +157,7 @@
         let line = gate.open().await;
         assert!(reads_nothing(&line).await, "a repeat after its window");
         let answer = client.next().await.unwrap();
-        assert!(answer == thrift::broken(seq) || advice(&answer, seq).is_some());
+        assert!(answer == thrift::encode_broken(seq) || backoff_advice(&answer, seq).is_some());
     });
 }
 
@@ -185,7 +185,7 @@
             let line = gate.open().await;
             match tries {
                 1 => {
-                    assert!(advice(&client.next().await.unwrap(), 1).is_some());
+                    assert!(backoff_advice(&client.next().await.unwrap(), 1).is_some());
                     assert!(reads_nothing(&line).await);
                 }
                 _ => assert!(!reads_nothing(&line).await),
@@ -199,7 +199,7 @@
 #[test]
 fn an_attempt_follows_its_member_to_a_new_address() {
     run(async |tasks| {
-        let world = World::with(tasks, 9, &slow_dials());
+        let world = ActorHarness::with(tasks, 9, &slow_dials());
         let gate = Gate::closed();
         let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
@@ -221,7 +221,7 @@
 #[test]
 fn a_retired_peer_reports_the_end_of_every_attempt() {
     run(async |tasks| {
-        let world = World::with(tasks, 9, &slow_dials());
+        let world = ActorHarness::with(tasks, 9, &slow_dials());
         let gate = Gate::closed();
         let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
@@ -254,7 +254,7 @@
             let mut fields: Vec<(&str, &str)> = page(RID);
             (fields[1].1, fields[2].1) = (&rid, "60");
             client.send(&serve(seq, &fields, b"")).await;
-            let refused = async { advice(&client.next().await.unwrap(), seq).is_some() };
+            let refused = async { backoff_advice(&client.next().await.unwrap(), seq).is_some() };
             let sent = async {
                 while cache.next().await.0[0] != "want" {}
                 false
@@ -288,9 +288,9 @@
         client.send(&serve(2, &page(OTHER), b"")).await;
         let (_, line) = cache.next().await;
         reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
-        assert_eq!(client.next().await.unwrap(), served(2, b"b"));
+        assert_eq!(client.next().await.unwrap(), served_answer(2, b"b"));
         reply(&second, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -309,7 +309,7 @@
         reply(&line, &[RID, "VALID", NAMED, ""]).await;
         let (_, line) = next().await;
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -322,7 +322,7 @@
         for class in options["classes"].as_array_mut().unwrap() {
             class["deadline_ms"] = json!(500.0);
         }
-        let world = World::with(tasks, 9, &options);
+        let world = ActorHarness::with(tasks, 9, &options);
         let peer = world.peer();
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
         let (_, line) = world.cache.next().await;
@@ -348,7 +348,7 @@
     run(async |tasks| {
         let mut options = settings();
         options["limits"]["idle_close_ms"] = json!(600.0);
-        let world = World::with(tasks, 9, &options);
+        let world = ActorHarness::with(tasks, 9, &options);
         let peer = world.peer();
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
         let (_, one) = world.cache.next().await;
@@ -368,7 +368,7 @@
 fn attempts_behind_a_full_socket_are_checked_when_they_are_written() {
     run(async |tasks| {
         let (listener, address) = listen();
-        let world = World::new(tasks, 1);
+        let world = ActorHarness::new(tasks, 1);
         let peer = silverspindle::upstream::Peer::start(PEER, address, &world.shared);
         let write = |ticket: u64, size: usize| {
             let mut attempt = Rc::into_inner(world.attempt(ticket, &format!("{ticket:016x}"))).unwrap();
@@ -410,7 +410,7 @@
 #[test]
 fn a_connection_with_a_malformed_answer_is_closed_before_its_ends_are_reported() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let peer = world.peer();
         peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
         let (_, line) = world.cache.next().await;
@@ -429,7 +429,7 @@
 #[test]
 fn an_attempt_not_written_on_one_connection_but_on_another_is_not_reported_as_never_sent() {
     run(async |tasks| {
-        let world = World::new(tasks, 9);
+        let world = ActorHarness::new(tasks, 9);
         let peer = world.peer();
         let attempt = world.attempt(1, RID);
         peer.send(Order::Send(attempt.clone())).await.unwrap();
--- a/silverspindle/tests/router.rs
+++ b/silverspindle/tests/router.rs
@@ -17,7 +17,7 @@
         let cache = Cache::start(tasks);
         let (router, _coordinator) = router(tasks, &[cache.address]);
         let client = Client::connect(tasks, router.address).await;
-        assert!(client.well(1).await);
+        assert!(client.is_well(1).await);
         let mut fields = page(RID);
         fields.push(("cached", "4be0c1927d55a6f3"));
         client.send(&serve(2, &fields, b"")).await;
@@ -37,14 +37,14 @@
         assert!((1..=20_000).contains(&field(&want, "ttl").unwrap().parse::<u64>().unwrap()));
         let body = "x".repeat(240_000);
         reply(&line, &[RID, "HIT", NAMED, &body]).await;
-        assert_eq!(client.next().await.unwrap(), served(2, body.as_bytes()));
+        assert_eq!(client.next().await.unwrap(), served_answer(2, body.as_bytes()));
 
         // The client's own copy is still valid: the answer has an empty body and `keep`.
         (fields[1].1, fields[4].1) = (SECOND_RID, "4");
         client.send(&serve(3, &fields, b"")).await;
         let (_, line) = cache.next().await;
         reply(&line, &[SECOND_RID, "VALID", NAMED, ""]).await;
-        let holds = thrift::answer("serve", 3, 0, &[("keep", "1")], true).concat();
+        let holds = thrift::encode_answer("serve", 3, 0, &[("keep", "1")], true).concat();
         assert_eq!(client.next().await.unwrap(), holds);
     });
 }
@@ -63,7 +63,7 @@
         assert_eq!((want[3].as_str(), field(&want, "retain")), ("scanned", None));
         assert_eq!(field(&want, "dedupe"), Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
         reply(&line, &[RID, "HIT", "why=deep_fill", "done"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"done"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"done"));
     });
 }
 
@@ -80,9 +80,9 @@
         let [(first, line), (second, other)] = read;
         assert_eq!((first[1].as_str(), second[1].as_str()), (RID, SECOND_RID));
         reply(&other, &[SECOND_RID, "HIT", NAMED, "b"]).await;
-        assert_eq!(client.next().await.unwrap(), served(2, b"b"));
+        assert_eq!(client.next().await.unwrap(), served_answer(2, b"b"));
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -114,14 +114,14 @@
             let mut fields: Vec<_> = page(RID).into_iter().filter(|(n, _)| *n != name).collect();
             fields.push((name, value));
             client.send(&serve(seq, &fields, b"")).await;
-            assert_eq!(client.next().await.unwrap(), thrift::broken(seq), "{name}");
+            assert_eq!(client.next().await.unwrap(), thrift::encode_broken(seq), "{name}");
         }
         let mut keyless = page(RID);
         keyless[0].1 = "scan";
         client.send(&serve(20, &keyless, b"")).await;
-        assert_eq!(client.next().await.unwrap(), thrift::broken(20));
+        assert_eq!(client.next().await.unwrap(), thrift::encode_broken(20));
         client.send(&serve(21, &page(RID), b"a body where nothing is written")).await;
-        assert_eq!(client.next().await.unwrap(), thrift::broken(21));
+        assert_eq!(client.next().await.unwrap(), thrift::encode_broken(21));
         assert!(cache.nothing_came());
     });
 }
@@ -141,9 +141,9 @@
             assert_eq!(bad.next().await, None);
         }
         good.send(&call(1, "dance", 2, &[0])).await;
-        assert_eq!(good.next().await.unwrap(), thrift::unknown_method("dance", 2));
+        assert_eq!(good.next().await.unwrap(), thrift::encode_unknown_method("dance", 2));
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(good.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(good.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -160,14 +160,14 @@
         client.send(&forget(1)).await;
         // The answer to this call follows the `forget`, so the director has read that before the cache
         // answers.
-        assert!(client.well(2).await);
+        assert!(client.is_well(2).await);
         assert_eq!(cache.next().await.0, ["never_mind", RID]);
         reply(&line, &[RID, "HIT", NAMED, "late"]).await;
         client.send(&serve(3, &page(SECOND_RID), b"")).await;
         let (want, line) = cache.next().await;
         assert_eq!(want[1], SECOND_RID);
         reply(&line, &[SECOND_RID, "HIT", NAMED, "b"]).await;
-        assert_eq!(client.next().await.unwrap(), served(3, b"b"));
+        assert_eq!(client.next().await.unwrap(), served_answer(3, b"b"));
     });
 }
 
@@ -181,7 +181,7 @@
         let client = Client::connect(tasks, router.address).await;
         client.send(&serve(1, &page(RID), b"")).await;
         cache.next().await;
-        client.hang_up();
+        client.shutdown_write();
         assert_eq!(client.next().await, None);
         assert_eq!(cache.next().await.0, ["never_mind", RID]);
         let other = Client::connect(tasks, router.address).await;
@@ -189,7 +189,7 @@
         let (want, line) = cache.next().await;
         assert_eq!(want[1], SECOND_RID);
         reply(&line, &[SECOND_RID, "HIT", NAMED, "b"]).await;
-        assert_eq!(other.next().await.unwrap(), served(1, b"b"));
+        assert_eq!(other.next().await.unwrap(), served_answer(1, b"b"));
     });
 }
 
@@ -226,7 +226,7 @@
             let (again, line) = next().await;
             assert_eq!(again[1], RID);
             reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-            assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+            assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         });
     }
 }
@@ -249,7 +249,7 @@
             client.send(&serve(seq, &fields, b"")).await;
             let (_, line) = cache.next().await;
             reply(&line, &[&object, "HIT", NAMED, "a"]).await;
-            assert_eq!(client.next().await.unwrap(), served(seq, b"a"));
+            assert_eq!(client.next().await.unwrap(), served_answer(seq, b"a"));
         }
     });
 }
@@ -267,7 +267,7 @@
         client.send(&serve(1, &fields, b"")).await;
         let (want, _line) = cache.next().await;
         assert_eq!(want[0], "want");
-        assert!(advice(&client.next().await.unwrap(), 1).is_some_and(|ms| ms > 0));
+        assert!(backoff_advice(&client.next().await.unwrap(), 1).is_some_and(|ms| ms > 0));
         // A second copy of the request may arrive first.
         while cache.next().await.0 != ["never_mind", RID] {}
     });
@@ -304,13 +304,13 @@
             let mut fields: Vec<(&str, &str)> = page(RID);
             fields[1].1 = &rid;
             client.send(&serve(seq, &fields, b"")).await;
-            let answer = async { client.next().await.map(|a| advice(&a, seq).is_some()) };
-            let served = async {
+            let when_refused = async { client.next().await.map(|a| backoff_advice(&a, seq).is_some()) };
+            let when_served = async {
                 let (_, line) = two.next().await;
                 reply(&line, &[&rid, "HIT", NAMED, "a"]).await;
-                client.next().await.map(|a| advice(&a, seq).is_some())
+                client.next().await.map(|a| backoff_advice(&a, seq).is_some())
             };
-            if futures_lite::future::or(answer, served).await.unwrap() {
+            if futures_lite::future::or(when_refused, when_served).await.unwrap() {
                 break;
             }
         }
@@ -341,14 +341,14 @@
         let (_, first) = cache.next().await;
         let client_script = async {
             let late = Client::connect(tasks, router.address).await;
-            while late.well(1).await {}
+            while late.is_well(1).await {}
             late.send(&serve(2, &page(SECOND_RID), b"")).await;
             let (want, line) = cache.next().await;
             assert_eq!(want[1], SECOND_RID);
             reply(&line, &[SECOND_RID, "HIT", NAMED, "b"]).await;
-            assert_eq!(late.next().await.unwrap(), served(2, b"b"));
+            assert_eq!(late.next().await.unwrap(), served_answer(2, b"b"));
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
-            assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+            assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         };
         both(router.shut_down(), client_script).await;
     });
@@ -360,19 +360,19 @@
 fn unused_connections_make_room_for_waiting_clients() {
     run(async |tasks| {
         let cache = Cache::start(tasks);
-        let (router, _coordinator) = small_router(tasks, &[cache.address], 64);
+        let (router, _coordinator) = router_with_sockets(tasks, &[cache.address], 64);
         let busy = Client::connect(tasks, router.address).await;
         busy.send(&serve(1, &page(RID), b"")).await;
         let (_, line) = cache.next().await;
         let mut held = Vec::new();
         for _ in 0..3 * most_clients(64) {
             let client = Client::connect(tasks, router.address).await;
-            assert!(client.well(1).await);
+            assert!(client.is_well(1).await);
             held.push(client);
         }
         assert_eq!(held[0].next().await, None, "the connection unused for longest is closed");
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(busy.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(busy.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -386,7 +386,7 @@
         let half = Client::connect(tasks, router.address).await;
         half.send(&serve(1, &page(RID), b"")[..40]).await;
         let later = Client::connect(tasks, router.address).await;
-        assert!(later.well(1).await);
+        assert!(later.is_well(1).await);
         later.send(&[0, 0]).await;
         for client in [silent, half, later] {
             assert_eq!(client.next().await, None);
@@ -409,12 +409,12 @@
         let mut other = page(RID);
         other[3].1 = "00000000000000b1";
         bad.send(&serve(7, &other, b"")).await;
-        assert_eq!(bad.next().await.unwrap(), thrift::broken(7));
+        assert_eq!(bad.next().await.unwrap(), thrift::encode_broken(7));
         bad.send(&serve(7, &page(SECOND_RID), b"")).await;
         assert_eq!(bad.next().await, None);
         assert!(cache.nothing_came());
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(good.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(good.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
 
@@ -429,13 +429,13 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, line) = cache.next().await;
         reply(&line, &[RID, "HIT", NAMED, "a"]).await;
-        assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         client.send(&serve(2, &page(SECOND_RID), b"")).await;
-        assert_eq!(client.next().await.unwrap(), served(2, b"a"));
+        assert_eq!(client.next().await.unwrap(), served_answer(2, b"a"));
         let mut holder = page("00000000000000a3");
         holder.push(("cached", "4be0c1927d55a6f3"));
         client.send(&serve(3, &holder, b"")).await;
-        let holds = thrift::answer("serve", 3, 0, &[("keep", "1")], true).concat();
+        let holds = thrift::encode_answer("serve", 3, 0, &[("keep", "1")], true).concat();
         assert_eq!(client.next().await.unwrap(), holds);
         assert!(cache.nothing_came());
 
@@ -451,7 +451,7 @@
             let own = async { client.next().await.and(None) };
             if let Some((_, line)) = futures_lite::future::or(asked, own).await {
                 reply(&line, &[&rid, "HIT", "version=bb,stamp=1764576000124", "b"]).await;
-                assert_eq!(client.next().await.unwrap(), served(seq, b"b"));
+                assert_eq!(client.next().await.unwrap(), served_answer(seq, b"b"));
                 break;
             }
         }
@@ -459,7 +459,7 @@
 }
 
 /// Guards against a router that shuts down and accepts requests that SIGKILL would leave unanswered. On a
-/// busy connection, a request that arrives after `LINGER` and is due after the kill is refused at once with
+/// busy connection, a request that arrives after `ARRIVAL_WINDOW` and is due after the kill is refused at once with
 /// advice and sent to no cache. One that is due before the kill is still served, and requests accepted
 /// earlier are answered.
 #[test]
@@ -471,11 +471,14 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, first) = cache.next().await;
         let client_script = async {
-            // Wait for the end of `LINGER`, as requests within it are accepted whatever their deadline.
-            silverspindle::clock::at(silverspindle::clock::now() + silverspindle::drain::LINGER).await;
+            // Wait for the end of `ARRIVAL_WINDOW`, as requests within it are accepted whatever their deadline.
+            silverspindle::clock::timer_at(
+                silverspindle::clock::now() + silverspindle::drain::ARRIVAL_WINDOW,
+            )
+            .await;
             client.send(&serve(2, &page(SECOND_RID), b"")).await;
             let answer = client.next().await.unwrap();
-            assert!(advice(&answer, 2).is_some(), "a 20 s budget ends after the kill: refused");
+            assert!(backoff_advice(&answer, 2).is_some(), "a 20 s budget ends after the kill: refused");
             let mut short = page(THIRD_RID);
             short.retain(|(name, _)| *name != "budget");
             short.push(("budget", "1000"));
@@ -489,9 +492,9 @@
             };
             assert_eq!(want[1], THIRD_RID, "no attempt was made for the refused request");
             reply(&line, &[THIRD_RID, "HIT", NAMED, "c"]).await;
-            assert_eq!(client.next().await.unwrap(), served(3, b"c"));
+            assert_eq!(client.next().await.unwrap(), served_answer(3, b"c"));
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
-            assert_eq!(client.next().await.unwrap(), served(1, b"a"));
+            assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         };
         both(router.shut_down(), client_script).await;
     });
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings as the simulator's first message and a router's configuration give them: one parser for both.
+//! Parser of the settings, used for both the simulator's first message and a router's configuration.
 
 use serde_json::{Map, Value};
 
@@ -6,33 +6,33 @@
 
 type Object = Map<String, Value>;
 
-/// The settings with the names that they give to classes, zones and kinds, and what a router's connections
-/// have to keep.
+/// The settings of the decision module with the names of classes, zones and kinds, and the settings of a
+/// router's connections.
 #[derive(Clone, Debug, Default)]
-pub struct Catalogue {
-    /// What the module needs of them.
+pub struct SiteSettings {
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of the classes, in their order.
+    /// Names of the classes, in the order of their indices.
     pub classes: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones, in the order of their indices.
     pub zones: Vec<String>,
-    /// Names of the kinds of member.
+    /// Names of the member kinds, in the order of their indices.
     pub kinds: Vec<String>,
-    /// Attempts that one connection carries at a time; 0: not told.
+    /// Maximum number of attempts in flight on one connection; 0: not given.
     pub streams_per_conn: usize,
-    /// A connection idle for so long is closed; 0: not told.
+    /// Idle time after which a connection is closed; 0: not given.
     pub idle_close: Micros,
-    /// What a new connection costs, in first tries; 0: nothing.
-    pub handshake_price: f64,
+    /// Cost of a new connection, in units of a first attempt; 0: none.
+    pub handshake_cost: f64,
 }
 
-impl Catalogue {
-    /// Reads the settings leniently: what is absent or of another kind reads as nothing.
-    pub fn read(options: &Object) -> Self {
+impl SiteSettings {
+    /// Reads the settings leniently: a value of the wrong type counts as absent.
+    pub fn parse(options: &Object) -> Self {
         let entries = options.get("classes").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
-        let classes = entries.iter().map(|c| Part(c.as_object()).text("name").to_owned()).collect();
-        let (zones, kinds) = (names(options, "failure_domains"), names(options, "kinds"));
-        let limits = Part::of(options, "limits");
+        let classes = entries.iter().map(|c| Section(c.as_object()).text("name").to_owned()).collect();
+        let (zones, kinds) = (name_list(options, "failure_domains"), name_list(options, "kinds"));
+        let limits = Section::of(options, "limits");
         Self {
             settings: settings(options, &zones),
             classes,
@@ -40,32 +40,32 @@
             kinds,
             streams_per_conn: limits.number("streams_per_conn") as usize,
             idle_close: limits.micros("idle_close_ms"),
-            handshake_price: Part::of(options, "deductions").number("handshake"),
+            handshake_cost: Section::of(options, "deductions").number("handshake"),
         }
     }
 }
 
-/// A duration or a time in milliseconds, as the settings and the simulator's wire give it.
+/// Converts a duration or a time in milliseconds, the unit of the settings and of the simulator's messages.
 pub fn micros(v: &Value) -> Option<Micros> {
     v.as_f64().map(|ms| (ms * 1000.0).round().max(0.0) as Micros)
 }
 
-fn names(options: &Object, field: &str) -> Vec<String> {
+fn name_list(options: &Object, field: &str) -> Vec<String> {
     let list = options.get(field).and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
     list.iter().map(|v| v.as_str().unwrap_or_default().to_owned()).collect()
 }
 
-/// Place of a name among those of the settings; a name not met before lies out of range.
-pub fn place(names: &[String], name: Option<&str>) -> usize {
+/// Index of a name among those of the settings; `usize::MAX`, which is out of range, for an unknown name.
+pub fn index_of(names: &[String], name: Option<&str>) -> usize {
     names.iter().position(|n| Some(n.as_str()) == name).unwrap_or(usize::MAX)
 }
 
-/// A part of the settings, read leniently: what is absent or of another kind reads as nothing.
-struct Part<'a>(Option<&'a Object>);
+/// A JSON object of the settings, read leniently: a value of the wrong type counts as absent.
+struct Section<'a>(Option<&'a Object>);
 
-impl<'a> Part<'a> {
+impl<'a> Section<'a> {
     fn of(parent: &'a Object, name: &str) -> Self {
-        Part(parent.get(name).and_then(Value::as_object))
+        Section(parent.get(name).and_then(Value::as_object))
     }
     fn get(&self, name: &str) -> Option<&'a Value> {
         self.0.and_then(|m| m.get(name))
@@ -92,9 +92,9 @@
 }
 
 fn settings(options: &Object, zones: &[String]) -> Settings {
-    let top = Part(Some(options));
+    let top = Section(Some(options));
     let (info, limits, rules) =
-        (Part::of(options, "family_info"), Part::of(options, "limits"), Part::of(options, "rules"));
+        (Section::of(options, "family_info"), Section::of(options, "limits"), Section::of(options, "rules"));
     let by_class = |name: &str| {
         let list = info.list(name);
         move |i: usize| list.get(i).copied().unwrap_or(0.0)
@@ -104,27 +104,27 @@
         (by_class("class_stale_worth"), by_class("segmented"), by_class("class_write"));
     let entries = options.get("classes").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
     let classes = entries.iter().enumerate().map(|(i, v)| {
-        let c = Part(v.as_object());
+        let c = Section(v.as_object());
         Class {
             aim: c.micros("slo_ms"),
             aim_stretch: c.number("aim_stretch"),
             deadline: c.micros("deadline_ms"),
-            effect: match c.text("idempotency") {
-                "idempotent" => Effect::Idempotent,
-                "deduplicated" => Effect::Deduplicated,
-                _ => Effect::AtMostOnce,
+            idempotency: match c.text("idempotency") {
+                "idempotent" => Idempotency::Idempotent,
+                "deduplicated" => Idempotency::Deduplicated,
+                _ => Idempotency::AtMostOnce,
             },
-            group: match c.text("group") {
+            dedup_group: match c.text("group") {
                 "zone" => DedupGroup::Zone,
                 "cell" => DedupGroup::Cell,
                 _ => DedupGroup::All,
             },
-            window: c.micros("window_ms"),
+            dedup_window: c.micros("window_ms"),
             streamed: c.flag("streamed"),
             worth: c.number("worth"),
             late_worth: c.number("late_worth"),
-            fresh: (fresh(i) * 1000.0) as Micros,
-            stale: (stale(i) * 1000.0) as Micros,
+            fresh_for: (fresh(i) * 1000.0) as Micros,
+            stale_for: (stale(i) * 1000.0) as Micros,
             stale_worth: stale_worth(i),
             segmented: segmented(i) > 0.0,
             write: write(i) > 0.0,
@@ -133,7 +133,7 @@
     Settings {
         index: top.number("index") as u32,
         directors: top.number("balancers") as u32,
-        zone: place(zones, Some(top.text("my_zone"))),
+        zone: index_of(zones, Some(top.text("my_zone"))),
         zone_directors: info.list("crew_by_zone").iter().map(|x| *x as u32).collect(),
         zone_hub: info.list("hub_by_zone").iter().map(|x| *x as usize).collect(),
         zone_link_kb_per_s: info.list("link_in_kb_per_s"),
@@ -141,17 +141,17 @@
         parent_kind: info.kind("parent_kind"),
         origin_kind: info.kind("root_kind"),
         flow_kb_per_s: info.number("flow_kb_per_s"),
-        direct: info.flag("bypass_allowed"),
-        joins: info.flag("shares_fills"),
+        direct_upper_tiers: info.flag("bypass_allowed"),
+        join_fills: info.flag("shares_fills"),
         siblings: match info.text("neighbours") {
             "location" => Siblings::Location,
             "any" => Siblings::Any,
             _ => Siblings::None,
         },
-        tells: match info.text("detail") {
-            "all" => Tells::All,
-            "hit" => Tells::Hit,
-            _ => Tells::Nothing,
+        detail: match info.text("detail") {
+            "all" => Detail::All,
+            "hit" => Detail::Hit,
+            _ => Detail::Nothing,
         },
         weights: match top.text("weights") {
             "nominal" => Weights::Nominal,
@@ -172,14 +172,14 @@
         ask_within: rules.micros("must_ask_in_ms"),
         answer_slack: rules.micros("grace_to_answer_ms"),
         drain_grace: rules.micros("drain_grace_ms"),
-        cold_from: rules.number("cold_from"),
-        cold_time: rules.micros("cold_ms"),
-        fall_multiple: rules.number("fall_multiple"),
-        fall_window: rules.micros("tip_after_ms"),
-        parent_cold_from: info.number("upper_cold_from"),
-        parent_cold_time: info.micros("parent_ramp_ms"),
-        parent_fall_multiple: info.number("parent_fall_multiple"),
+        cold_start_share: rules.number("cold_from"),
+        cold_duration: rules.micros("cold_ms"),
+        overload_multiple: rules.number("fall_multiple"),
+        overload_window: rules.micros("tip_after_ms"),
+        parent_cold_start_share: info.number("upper_cold_from"),
+        parent_cold_duration: info.micros("parent_ramp_ms"),
+        parent_overload_multiple: info.number("parent_fall_multiple"),
         purge_grace: info.micros("heed_within_ms"),
-        purge_done: info.micros("cleared_within_ms"),
+        purge_complete_within: info.micros("cleared_within_ms"),
     }
 }
