--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -20,7 +20,7 @@
 use crate::config::Config;
 use crate::coordinator::Coordinator;
 use crate::copies::Copies;
-use crate::director::{self, Director, Owed};
+use crate::director::{self, Director, PendingAnswers};
 use crate::distribution;
 use crate::drain::{self, Drain};
 use crate::front::{Front, LISTEN_BACKLOG, most_clients};
@@ -28,7 +28,7 @@
 use crate::knowledge::{Knowledge, keys::Tls, snapshots};
 use crate::links::Connector;
 use crate::management::Management;
-use crate::traffic::{Board, Descriptors, Message, Shared};
+use crate::traffic::{Descriptors, Message, RoutingState, Shared};
 use crate::upgrade::{ProcessFile, remaining_limit};
 use crate::{clock, invariant};
 
@@ -72,7 +72,7 @@
     /// written.
     process_file: Option<Rc<ProcessFile>>,
     /// Number of requests without a final answer.
-    open_requests: Rc<Owed>,
+    pending_answers: Rc<PendingAnswers>,
     /// The operators' file in effect.
     conf: RefCell<Conf>,
     /// The exchange with other routers, if it is on.
@@ -92,12 +92,12 @@
         let management = config.management.map(Async::<TcpListener>::bind).transpose()?;
         let address = listener.get_ref().local_addr()?;
         let site = Rc::new(config.site);
-        let (mailbox, mailbox_receiver) = async_channel::bounded(director::MAILBOX);
-        let (notice_sender, notices) = async_channel::bounded(director::MAILBOX);
+        let (mailbox, mailbox_receiver) = async_channel::bounded(director::MAILBOX_CAPACITY);
+        let (notice_sender, notices) = async_channel::bounded(director::MAILBOX_CAPACITY);
         let exchange_descriptors = conf.exchange.as_ref().map_or(0, exchange::descriptors);
         // The management address uses one descriptor for the listener and one for each open call.
         let management_descriptors = config.management.map_or(0, |_| crate::management::MAX_CALLS + 1);
-        let board = Rc::new(Board::default());
+        let state = Rc::new(RoutingState::default());
         let agreement_descriptors = conf.agreement.as_ref().map_or(0, agreement::descriptors);
         let relay_descriptors = conf.relay.as_ref().map_or(0, distribution::descriptors);
         let other_descriptors = OTHER_DESCRIPTORS
@@ -117,12 +117,12 @@
         let descriptors = Descriptors::new(peer_descriptors);
         let shared = Rc::new(Shared {
             site: site.clone(),
-            board: board.clone(),
+            state: state.clone(),
             descriptors: descriptors.clone(),
             director: mailbox.clone(),
             tasks: tasks.clone(),
         });
-        let open_requests = Rc::new(Owed::default());
+        let pending_answers = Rc::new(PendingAnswers::default());
         let copies = Copies::new(
             (config.memory / COPIES_MEMORY_DIVISOR).min(MAX_COPIES_BYTES),
             config.flow_bytes_per_s,
@@ -132,7 +132,7 @@
         let knowledge = uses_knowledge.then(|| Knowledge::new(&config.name, conf.half_lives, &site.settings));
         let identity = knowledge.as_ref().map(|k| (k.me, k.steady));
         let mut director =
-            Director::new(config.seed, shared, open_requests.clone(), copies).with_knowledge(knowledge);
+            Director::new(config.seed, shared, pending_answers.clone(), copies).with_knowledge(knowledge);
         let (last_event, known) = config.known;
         let purge_cleared_after = site.settings.purge_complete_within + site.settings.purge_grace;
         let known_for_relay = conf.relay.as_ref().map(|_| known.clone());
@@ -164,7 +164,7 @@
         let longest_deadline = site.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let drain = Rc::new(RefCell::new(Drain::new().with_longest_deadline(longest_deadline)));
         let front = Front::new(site.clone(), mailbox.clone(), config.memory, config.sockets, drain.clone());
-        director.count_in(front.counters());
+        director.set_counters(front.counters());
         let agreement_handle: Rc<RefCell<Option<agreement::Handle>>> = Rc::default();
         if let Some(terms) = conf.agreement.clone() {
             if let Some(problem) = agreement::lacks(&conf, &config.name) {
@@ -176,27 +176,27 @@
             let instance = InstanceId::of(&config.name);
             let me = identity.map_or(Source { instance, incarnation: clock::now() }, |(me, _)| me);
             let tls = tls_keys(hub.as_deref(), &terms.files)?;
-            let (open_requests, own_front) = (open_requests.clone(), front.clone());
+            let (pending_answers, own_front) = (pending_answers.clone(), front.clone());
             let yard = agreement::Yard {
-                board: board.clone(),
+                board: state.clone(),
                 director: mailbox.clone(),
                 settings: site.settings.clone(),
                 classes: site.classes.clone(),
                 drain: drain.clone(),
                 nudge: front.nudger(),
-                owes: Rc::new(move || open_requests.get() > 0 || !own_front.flushed()),
+                owes: Rc::new(move || pending_answers.get() > 0 || !own_front.flushed()),
             };
             if terms.work.is_some() {
-                board.wait_for_orders();
+                state.enable_orders();
                 drain.borrow_mut().set_alone(terms.work.is_some_and(|work| !work.hold));
             }
             if terms.rules.is_some() {
-                board.wait();
+                state.require_rules();
                 drain.borrow_mut().set_alone(true);
             }
-            let (hub, board, current) = (hub.clone(), board.clone(), agreement_handle.clone());
+            let (hub, state, current) = (hub.clone(), state.clone(), agreement_handle.clone());
             let on_ready = move |handle: agreement::Handle| {
-                board.agree(Rc::new(handle.clone()));
+                state.set_rules(Rc::new(handle.clone()));
                 *current.borrow_mut() = Some(handle);
                 if let Some(hub) = &hub {
                     hub.agree(Rc::new(agreement::links::Current(current.clone())));
@@ -235,7 +235,7 @@
                     name: config.name.clone(),
                     connector: Connector { me, tls: tls_keys(hub.as_deref(), &terms.files)? },
                     tasks: tasks.clone(),
-                    board: board.clone(),
+                    board: state.clone(),
                     cleared: purge_cleared_after,
                     notices: notice_sender,
                     coordinator: config.coordinator,
@@ -275,7 +275,7 @@
             front,
             drain,
             process_file,
-            open_requests,
+            pending_answers,
             conf: RefCell::new(conf),
             hub,
             director: director_mailbox,
@@ -334,7 +334,7 @@
         // The listener is closed once no new clients are expected; connections in its queue are accepted,
         // read and answered first.
         let accept_until = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::ARRIVAL_WINDOW);
-        while !self.drain.borrow().may_exit(clock::now(), self.open_requests.get(), self.front.settled()) {
+        while !self.drain.borrow().may_exit(clock::now(), self.pending_answers.get(), self.front.settled()) {
             if clock::now() >= accept_until {
                 self.front.stop_accepting();
             }
@@ -343,7 +343,7 @@
                 let (connections, open) = self.front.held();
                 tracing::info!(
                     "ending: {} owed, {connections} clients' connections with {open} open",
-                    self.open_requests.get()
+                    self.pending_answers.get()
                 );
             }
             Timer::after(SHUTDOWN_POLL_INTERVAL).await;
@@ -381,9 +381,11 @@
     let keep_to = |sockets_left: usize, memory_left: usize| {
         // Clients move from one process to the other, and both together use the third reserved for clients.
         // The reduction therefore applies to the peers' descriptors.
-        descriptors.keep_to(all_descriptors.saturating_sub(sockets - sockets_left).max(all_descriptors / 4));
+        descriptors
+            .set_limit(all_descriptors.saturating_sub(sockets - sockets_left).max(all_descriptors / 4));
         front.keep_to(memory_left);
-        let _ = director.try_send(Message::Room((memory_left / COPIES_MEMORY_DIVISOR).min(MAX_COPIES_BYTES)));
+        let _ = director
+            .try_send(Message::CopyMemory((memory_left / COPIES_MEMORY_DIVISOR).min(MAX_COPIES_BYTES)));
     };
     tracing::info!("an older process serves beside this one: both keep to one limit");
     while let Some((used_descriptors, used_memory)) = process_file.older_usage() {
@@ -453,7 +455,7 @@
     let run = async {
         loop {
             if !signals.next().await {
-                tracing::info!("ending on a signal: {} requests open", router.open_requests.get());
+                tracing::info!("ending on a signal: {} requests open", router.pending_answers.get());
                 break;
             }
             let (config, conf) = read_again();
