--- a/silverspindle/src/agreement/links.rs
+++ b/silverspindle/src/agreement/links.rs
@@ -13,7 +13,7 @@
 use silverspindle_knowledge::protocol::Message;
 
 use super::Handle;
-use crate::links::{Accepted, Connector, Service, both, write};
+use crate::links::{Accepted, Connector, Service, run_duplex, write_frame};
 
 /// After a failure it is tried again between these, drawn anew each time so that many don't come with one beat.
 const SOONEST: u64 = 50;
@@ -40,8 +40,9 @@
     let mut failing = false;
     while let Ok(first) = frames.recv().await {
         let talk = async {
-            let mut stream = connector.connect(&name, at, &Message::Open { me: connector.me }).await?;
-            write(&mut stream, &first).await?;
+            let mut stream =
+                connector.connect_and_send(&name, at, &Message::Open { me: connector.me }).await?;
+            write_frame(&mut stream, &first).await?;
             if failing {
                 tracing::info!(peer = name, "agreement: heard again at {at}");
             }
@@ -50,7 +51,7 @@
                 handle.heard(&name, frame);
                 Ok(())
             };
-            both(stream, &frames, Some(idle), MOST_FRAME, heard).await
+            run_duplex(stream, &frames, Some(idle), MOST_FRAME, heard).await
         };
         if let Err(e) = talk.await {
             if !failing {
@@ -81,7 +82,7 @@
                 }
                 Ok(())
             };
-            if let Err(e) = both(stream, &caller.frames, None, caller.longest_frame, heard).await {
+            if let Err(e) = run_duplex(stream, &caller.frames, None, caller.longest_frame, heard).await {
                 tracing::debug!(peer = name, "agreement: {e}");
             }
         }))
--- a/silverspindle/src/agreement/staff.rs
+++ b/silverspindle/src/agreement/staff.rs
@@ -27,7 +27,7 @@
 use super::store::draw;
 use crate::clock;
 use crate::knowledge::keys::{self, Tls};
-use crate::links::{self, Connector, within};
+use crate::links::{self, Connector, with_timeout};
 
 /// An elector that does not say how it stands within that is not heard.
 const STATUS: Duration = Duration::from_secs(2);
@@ -71,7 +71,7 @@
         mut good: impl FnMut(Frame) -> Option<T>,
     ) -> io::Result<T> {
         let first = Open { me: self.connector.me };
-        let stream = self.connector.connect(name, *at, &first).await?;
+        let stream = self.connector.connect_and_send(name, *at, &first).await?;
         let why = "is the agreement on there, and this name an operator's?";
         links::ask(stream, &frame, patience, why, &mut good).await
     }
@@ -141,7 +141,7 @@
         let (elector, at) = self.agreement.electors.first().ok_or("no agree-elector")?;
         let mut stream = self
             .connector
-            .connect(elector, *at, &Open { me: self.connector.me })
+            .connect_and_send(elector, *at, &Open { me: self.connector.me })
             .await
             .map_err(|e| e.to_string())?;
         let heard = self.status().await;
@@ -158,13 +158,15 @@
         while settled < count {
             let until = (sent + WINDOW).min(count);
             for n in sent..until {
-                links::write(&mut stream, &Frame::Propose(proposal(n))).await.map_err(|e| e.to_string())?;
+                links::write_frame(&mut stream, &Frame::Propose(proposal(n)))
+                    .await
+                    .map_err(|e| e.to_string())?;
             }
             sent = until;
             let (tell, told) = async_channel::bounded(WINDOW as usize);
             let wanted = sent - settled;
             let mut got = 0;
-            let read = links::read(&mut stream, MOST_FRAME, |frame| {
+            let read = links::read_frames(&mut stream, MOST_FRAME, |frame| {
                 if let Frame::Settled { id: ProposalId(whose, _), verdict: Some(_) } = frame
                     && whose == run
                 {
@@ -179,7 +181,7 @@
                 let _ = told.recv().await;
                 Ok(())
             };
-            within(STATUS * 5, "decisions", future::or(read, all)).await.map_err(|e| e.to_string())?;
+            with_timeout(STATUS * 5, "decisions", future::or(read, all)).await.map_err(|e| e.to_string())?;
             settled = sent;
         }
         Ok(settled)
--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -31,7 +31,7 @@
 use crate::traffic::{
     Account, Attempt, Call, Message, Notice, Port, Refusal, SafeToRetry, Shared, Terms, Verdict,
 };
-use crate::upstream::{Order, Peer};
+use crate::upstream::{Peer, PeerMessage};
 use crate::withheld::Withheld;
 
 /// Capacity of the director's mailbox, in messages.
@@ -64,7 +64,7 @@
     member: MemberId,
     /// Mailbox of the peer actor that holds the attempt. By the time the attempt is given up, another actor
     /// may serve the member's id.
-    peer: Sender<Order>,
+    peer: Sender<PeerMessage>,
     sent: Micros,
     attempt: Rc<Attempt>,
 }
@@ -93,7 +93,7 @@
     settings: Settings,
     shared: Rc<Shared>,
     owed: Rc<Owed>,
-    peers: HashMap<MemberId, Sender<Order>>,
+    peers: HashMap<MemberId, Sender<PeerMessage>>,
     requests: HashMap<RequestId, Open>,
     /// Open requests by client connection and sequence number.
     by_client: BTreeMap<(u64, i32), RequestId>,
@@ -118,7 +118,7 @@
 }
 
 /// Starts the actor of the member at this address and returns its mailbox.
-type StartPeer = Box<dyn Fn(MemberId, SocketAddr) -> Sender<Order>>;
+type StartPeer = Box<dyn Fn(MemberId, SocketAddr) -> Sender<PeerMessage>>;
 
 impl Director {
     /// Creates a director whose module uses this random seed.
@@ -160,7 +160,7 @@
     }
 
     /// Replaces the function that starts members' actors. The default is [`Peer::start`].
-    pub fn start_peers_by(&mut self, start: impl Fn(MemberId, SocketAddr) -> Sender<Order> + 'static) {
+    pub fn start_peers_by(&mut self, start: impl Fn(MemberId, SocketAddr) -> Sender<PeerMessage> + 'static) {
         self.start_peer = Box::new(start);
     }
 
@@ -287,7 +287,7 @@
     fn gone(&mut self, id: MemberId) {
         self.shared.board.set_ready(id, false);
         if let Some(peer) = self.peers.remove(&id) {
-            self.post(&peer, Order::Retire);
+            self.post(&peer, PeerMessage::Retire);
         }
     }
 
@@ -301,14 +301,14 @@
         match self.peers.get(&id).cloned() {
             Some(peer) => {
                 self.next += 1;
-                self.post(&peer, Order::Address(m.address, self.next));
+                self.post(&peer, PeerMessage::Address(m.address, self.next));
             }
             None => drop(self.peers.insert(id, (self.start_peer)(id, m.address))),
         }
     }
 
     /// Sends an order that must not be lost, even if the mailbox is full.
-    fn post(&self, peer: &Sender<Order>, order: Order) {
+    fn post(&self, peer: &Sender<PeerMessage>, order: PeerMessage) {
         if let Err(async_channel::TrySendError::Full(order)) = peer.try_send(order) {
             let peer = peer.clone();
             self.shared.tasks.spawn(async move { drop(peer.send(order).await) }).detach();
@@ -476,7 +476,7 @@
             Action::Fail { id } => self.answer(id, Verdict::Failed),
             Action::Timer { delay, token } => self.wake(self.now() + delay, Due::Module(token)),
             Action::Probe { member } => {
-                let sent = self.peers.get(&member).is_some_and(|p| p.try_send(Order::Probe).is_ok());
+                let sent = self.peers.get(&member).is_some_and(|p| p.try_send(PeerMessage::Probe).is_ok());
                 if !sent {
                     let (status, elapsed, load) = (Status::ConnectFailed, 0, None);
                     self.backlog.push_back(Event::Probed { member, status, elapsed, load });
--- a/silverspindle/src/director/attempts.rs
+++ b/silverspindle/src/director/attempts.rs
@@ -8,7 +8,7 @@
 use super::{Director, Due, Out, spelt};
 use crate::invariant;
 use crate::traffic::{Attempt, Call, End, Terms, Verdict};
-use crate::upstream::Order;
+use crate::upstream::PeerMessage;
 
 /// An attempt at a cold member must be written within this part (the divisor) of the time for which an
 /// overload tips such a member over; otherwise the module decides again. Attempts that waited for a
@@ -74,7 +74,7 @@
     pub(super) fn drop_attempt(&mut self, ticket: u64, status: Status) {
         let Some(out) = self.attempts.get(&ticket) else { return };
         out.attempt.dropped.set(true);
-        self.post(&out.peer, Order::GiveUp(out.attempt.clone(), status == Status::Timeout));
+        self.post(&out.peer, PeerMessage::Abandon(out.attempt.clone(), status == Status::Timeout));
         self.ended(End::bare(ticket, status));
     }
 
@@ -128,7 +128,7 @@
         // As in the simulator, an attempt that may not or can't be sent any more ends as never sent.
         let may = !open.closed && until > now && (most == 0 || number < most);
         self.shared.board.begun(&attempt, member);
-        let peer = peer.filter(|p| may && p.try_send(Order::Send(attempt.clone())).is_ok());
+        let peer = peer.filter(|p| may && p.try_send(PeerMessage::Send(attempt.clone())).is_ok());
         let Some(peer) = peer else {
             self.shared.board.over(&attempt, false, None);
             open.account.unsent(now, member);
--- a/silverspindle/src/distribution/children.rs
+++ b/silverspindle/src/distribution/children.rs
@@ -14,7 +14,7 @@
 use silverspindle_relay::{ChildId, Event, Fault, Frame};
 
 use super::limited::Limited;
-use crate::links::{Accepted, Service, both};
+use crate::links::{Accepted, Service, run_duplex};
 
 /// Frames of children that may wait at the core; who sends more is cut off.
 const INBOX: usize = 4096;
@@ -139,7 +139,7 @@
         Ok(Box::pin(async move {
             let children = &on_list.children;
             let heard = |frame| children.heard(on_list.number, &name, frame);
-            match both(stream, &frames, Some(children.0.idle), MOST, heard).await {
+            match run_duplex(stream, &frames, Some(children.0.idle), MOST, heard).await {
                 Err(e) if e.kind() == io::ErrorKind::InvalidData => {
                     children.0.limited.warn(&name, format_args!("a child's connection ends: {e}"));
                 }
--- a/silverspindle/src/distribution/parents.rs
+++ b/silverspindle/src/distribution/parents.rs
@@ -8,7 +8,7 @@
 use silverspindle_knowledge::protocol::Message;
 use silverspindle_relay::{Frame, ParentId, bounds};
 
-use crate::links::{Connector, both};
+use crate::links::{Connector, run_duplex};
 
 /// Frames that may wait for the parent: reports, of which the next says more than a lost one.
 const OUTBOX: usize = 16;
@@ -62,11 +62,11 @@
     inbox: Sender<Heard>,
 ) {
     let whole = async {
-        let stream = connector.connect(&name, at, &Message::Subscribe { me: connector.me }).await?;
+        let stream = connector.connect_and_send(&name, at, &Message::Subscribe { me: connector.me }).await?;
         let _ = inbox.send(Heard::Up).await;
         let full = |_| std::io::Error::other("more frames than can be taken");
         let heard = |frame| inbox.try_send(Heard::Frame(frame)).map_err(full);
-        both(stream, &outbox, None::<Duration>, bounds::FRAME, heard).await
+        run_duplex(stream, &outbox, None::<Duration>, bounds::FRAME, heard).await
     };
     let why = match whole.await {
         Ok(()) => "closed".to_owned(),
--- a/silverspindle/src/distribution/staff.rs
+++ b/silverspindle/src/distribution/staff.rs
@@ -129,7 +129,7 @@
     }
 
     async fn ask(&self, (name, at): &(String, SocketAddr), number: u64) -> io::Result<Status> {
-        let stream = self.connector.connect(name, *at, &Subscribe { me: self.connector.me }).await?;
+        let stream = self.connector.connect_and_send(name, *at, &Subscribe { me: self.connector.me }).await?;
         let status = |frame| if let Frame::Answer(status) = frame { Some(status) } else { None };
         let why = "is relay-role source or relay there?";
         links::ask(stream, &Frame::Ask { number }, PATIENCE, why, status).await
--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -36,7 +36,7 @@
 
 /// Number of open requests expected on one connection, by which its queues are sized. Twice as many are accepted before
 /// further ones are refused.
-pub const MOST_OPEN: usize = 32;
+pub const MAX_OPEN_REQUESTS: usize = 32;
 /// A connection used within this time, in microseconds, is not closed to make room, as a request may be on its way.
 const IN_USE: Micros = 50_000;
 /// Delay before the next accept while no connection is free, or after a failed accept (without a descriptor, for
@@ -53,7 +53,7 @@
 const MOST_CLOSING: usize = 8;
 /// Capacity of a connection's answer queue: one answer for each open request, and as many that were ready while an
 /// earlier answer was still being written.
-const MOST_ANSWERS: usize = 2 * MOST_OPEN;
+const MOST_ANSWERS: usize = 2 * MAX_OPEN_REQUESTS;
 /// Retry delay, in milliseconds, advised to a client that is refused before the module sees its request, where the
 /// settings enable this advice.
 const STAY_AWAY: u64 = 200;
@@ -66,7 +66,7 @@
 
 /// Maximum number of clients' connections for this number of descriptors: a third of them, and a few for connections
 /// that are just opening or closing.
-pub fn most_clients(sockets: usize) -> usize {
+pub fn max_client_connections(sockets: usize) -> usize {
     sockets / 3 + 8
 }
 
@@ -127,7 +127,7 @@
             most_held: Cell::new(memory / 3),
             taken: Rc::default(),
             most_taken: Cell::new(memory / 8),
-            most_connections: most_clients(sockets),
+            most_connections: max_client_connections(sockets),
             connections: RefCell::default(),
             rids: RefCell::new(AgeingFilter::new(RIDS, RIDS_QUIET)),
             closing: ClosingConnections::default(),
@@ -146,13 +146,13 @@
     }
 
     /// Sender that wakes the sweep; to be used after every change of the drain state.
-    pub fn nudger(&self) -> Sender<()> {
+    pub fn drain_notifier(&self) -> Sender<()> {
         self.nudged.0.clone()
     }
 
     /// Runs for ever: closes each connection that a drain or a shutdown releases, that is, once it owes nothing after
     /// the grace period. While the router serves, it waits for a signal and causes no wake-ups.
-    pub async fn sweep(self: Rc<Self>) {
+    pub async fn run_drain_sweep(self: Rc<Self>) {
         let mut log = DrainLog::default();
         loop {
             log.look(&self);
@@ -161,14 +161,14 @@
                 continue;
             }
             Timer::after(SWEEP).await;
-            self.let_go();
+            self.close_releasable();
         }
     }
 
     /// Asks each connection that the drain releases to close; the connection checks its socket once more before it does.
     /// Where the drain no longer waits for a connection to become free, its open requests get their final answers, and
     /// clients that do not read are cut off.
-    pub fn let_go(&self) {
+    pub fn close_releasable(&self) {
         let (now, drain) = (clock::now(), self.drain.borrow());
         if drain.is_last_moment(now) {
             self.closing.end_all();
@@ -193,29 +193,29 @@
     }
 
     /// Number of clients' connections, and number of requests open on them.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn connection_counts(&self) -> (usize, usize) {
         let connections = self.connections.borrow();
         (connections.len(), connections.values().map(|c| c.seen().open).sum())
     }
 
     /// Whether the listener, with its queue, is closed and every connection was read to its end, answered and closed.
     /// Only then may the process exit: the exit resets whatever connection is left.
-    pub fn settled(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         !self.accepting.get() && self.connections.borrow().is_empty() && self.closing.len() == 0
     }
 
     /// Bytes of answers that wait to be written to clients.
-    pub fn backlog(&self) -> usize {
+    pub fn unwritten_bytes(&self) -> usize {
         self.held.get()
     }
 
     /// Whether all answers are written.
-    pub fn flushed(&self) -> bool {
+    pub fn all_answers_written(&self) -> bool {
         self.unflushed.get() == 0
     }
 
     /// Sets the memory limits anew, as shares of this much memory.
-    pub fn keep_to(&self, memory: usize) {
+    pub fn set_memory_limit(&self, memory: usize) {
         self.most_held.set(memory / 3);
         self.most_taken.set(memory / 8);
     }
--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -17,7 +17,7 @@
 
 use super::closing::{LINGER, UNSENT, throw_away};
 use super::reading::Reading;
-use super::{Front, MOST_ANSWERS, MOST_OPEN};
+use super::{Front, MAX_OPEN_REQUESTS, MOST_ANSWERS};
 use crate::counters::{CloseReason, RefusalReason};
 use crate::drain::{Hold, Seen};
 use crate::framing::{Malformed, Messages};
@@ -244,7 +244,7 @@
         // Limits the unsent bytes in the kernel, which can't be observed. Platforms without the option keep the default.
         let _ = SockRef::from(stream.get_ref()).set_tcp_notsent_lowat(UNSENT);
         // The reader itself replies to messages that need no decision; it waits while these replies are not written.
-        let (own, direct) = async_channel::bounded(MOST_OPEN);
+        let (own, direct) = async_channel::bounded(MAX_OPEN_REQUESTS);
         let cut = async { Ok(End::Closing(ends.cuts.recv().await.unwrap_or(CloseReason::Memory))) };
         let write = self.write(&stream, &ends.answers, &direct);
         let ended = future::or(cut, future::or(self.read(&stream, came, own, &ends.closes), write)).await;
--- a/silverspindle/src/front/drain_log.rs
+++ b/silverspindle/src/front/drain_log.rs
@@ -42,7 +42,7 @@
                 *self = Self::default();
             }
             (Some(_), None) => {
-                let (held, open) = front.held();
+                let (held, open) = front.connection_counts();
                 tracing::info!("draining: {held} connections held, {open} requests open");
                 self.began = Some((now, now));
             }
--- a/silverspindle/src/hollow.rs
+++ b/silverspindle/src/hollow.rs
@@ -26,7 +26,7 @@
 
 use crate::clock;
 use crate::knowledge::keys::{self, Tls};
-use crate::links::{self, CONNECT, HANDSHAKE, within};
+use crate::links::{self, CONNECT_TIMEOUT, HANDSHAKE_TIMEOUT, with_timeout};
 use crate::steady::{DRIFT_PPM, steady};
 
 /// Days that its certificates hold.
@@ -140,11 +140,12 @@
     async fn connect(&self, parent: ParentId) -> io::Result<TlsStream<Counted>> {
         let (name, at) = self.parents.get(parent.0).ok_or(io::ErrorKind::NotFound)?;
         let server = ServerName::try_from(name.clone()).map_err(io::Error::other)?;
-        let stream = within(CONNECT, "connection", Async::<TcpStream>::connect(*at)).await?;
+        let stream = with_timeout(CONNECT_TIMEOUT, "connection", Async::<TcpStream>::connect(*at)).await?;
         let _ = stream.get_ref().set_nodelay(true);
         let stream = Counted { stream, totals: self.totals.clone() };
         let connector = TlsConnector::from(self.tls.client.clone());
-        let mut stream = within(HANDSHAKE, "handshake", connector.connect(server, stream)).await?;
+        let mut stream =
+            with_timeout(HANDSHAKE_TIMEOUT, "handshake", connector.connect(server, stream)).await?;
         stream.write_all(&protocol::encode(&Message::Subscribe { me: self.me }, VERSION)).await?;
         stream.flush().await?;
         Ok(stream)
@@ -158,7 +159,7 @@
                 let _ = events.send(Event::ParentUp(parent)).await;
                 let gone = |_| io::Error::other("the router is gone");
                 let heard = |frame| events.try_send(Event::FromParent(frame)).map_err(gone);
-                if let Err(e) = links::both(stream, &frames, None, bounds::FRAME, heard).await {
+                if let Err(e) = links::run_duplex(stream, &frames, None, bounds::FRAME, heard).await {
                     tracing::debug!("parent {}: {e}", parent.0);
                 }
             }
--- a/silverspindle/src/knowledge/exchange.rs
+++ b/silverspindle/src/knowledge/exchange.rs
@@ -24,7 +24,10 @@
 use super::Steady;
 use super::keys::{self, Tls};
 use crate::framing::Messages;
-use crate::links::{Accepted, CONNECT, Connector, HANDSHAKE, STALL, Service, malformed, measure, within};
+use crate::links::{
+    Accepted, CONNECT_TIMEOUT, Connector, HANDSHAKE_TIMEOUT, STALL_TIMEOUT, Service, invalid_data, measure,
+    with_timeout,
+};
 use crate::traffic::Message;
 
 /// A whole exchange takes no longer, however it drips.
@@ -58,7 +61,7 @@
     stream.read_exact(&mut bytes).await?;
     let length = measure(&bytes)?;
     if length > MOST_FIRST {
-        return Err(malformed(Malformed::Length(length as u64 - 4)));
+        return Err(invalid_data(Malformed::Length(length as u64 - 4)));
     }
     bytes.resize(length, 0);
     stream.read_exact(&mut bytes[4..]).await?;
@@ -161,7 +164,7 @@
             self.at_the_door.set(self.at_the_door.get() + 1);
             let hub = self.clone();
             let serve = async move {
-                match within(WHOLE, "end", hub.serve(stream)).await {
+                match with_timeout(WHOLE, "end", hub.serve(stream)).await {
                     Ok(None) => {}
                     Ok(Some(stays)) => stays.await,
                     Err(e) => tracing::warn!(peer = %from, "a newcomer was not served: {e}"),
@@ -176,8 +179,8 @@
         let _ = stream.get_ref().set_nodelay(true);
         let hello = async {
             let acceptor = TlsAcceptor::from(self.tls.borrow().server.clone());
-            let mut stream = within(HANDSHAKE, "handshake", acceptor.accept(stream)).await?;
-            let hello = within(CONNECT, "first frame", first(&mut stream)).await?;
+            let mut stream = with_timeout(HANDSHAKE_TIMEOUT, "handshake", acceptor.accept(stream)).await?;
+            let hello = with_timeout(CONNECT_TIMEOUT, "first frame", first(&mut stream)).await?;
             Ok::<_, io::Error>((stream, hello))
         };
         let door = Door(&self.at_the_door);
@@ -195,12 +198,12 @@
             Ok(Frame::Hello { .. } | Frame::Open { .. } | Frame::Subscribe { .. }) => {
                 return Err(io::Error::other("the name is not the certificate's"));
             }
-            Ok(_) => return Err(malformed(Malformed::Kind(hello[4]))),
+            Ok(_) => return Err(invalid_data(Malformed::Kind(hello[4]))),
             Err(why) => {
                 // So that a peer of another version learns which one is spoken here.
                 let own = Offer { me: self.me, up: self.steady.up(), items: 0 };
                 let _ = stream.write_all(&protocol::encode(&Frame::Offer(own), VERSION)).await;
-                return Err(malformed(why));
+                return Err(invalid_data(why));
             }
         };
         let admitted = self.giving.borrow().admit(me.instance, self.steady.now());
@@ -271,7 +274,7 @@
 
     /// Asks one donor; what it gives whole goes to the director.
     async fn one(&self, donor: usize, name: &str, at: SocketAddr) -> Event {
-        match within(WHOLE, "end", self.fetch(name, at)).await {
+        match with_timeout(WHOLE, "end", self.fetch(name, at)).await {
             Ok(Answer::Busy(after)) => Event::Busy { donor, after },
             Ok(Answer::Whole { offer, items, transit }) => {
                 let n = items.len();
@@ -288,7 +291,7 @@
 
     async fn fetch(&self, name: &str, at: SocketAddr) -> io::Result<Answer> {
         let connector = Connector { me: self.me, tls: self.tls.clone() };
-        let mut stream = connector.reach(name, at).await?;
+        let mut stream = connector.connect_tls(name, at).await?;
         let asked = self.steady.now();
         stream.write_all(&protocol::encode(&Frame::Hello { me: self.me }, VERSION)).await?;
         stream.flush().await?;
@@ -301,11 +304,11 @@
         asked: Micros,
         stream: impl AsyncRead + AsyncWrite + Unpin,
     ) -> io::Result<Answer> {
-        let mut frames = Messages::new(stream, measure, CHUNK).or_stall(STALL);
+        let mut frames = Messages::new(stream, measure, CHUNK).or_stall(STALL_TIMEOUT);
         let mut taking = Taking::default();
-        let mut next = within(CONNECT, "offer", frame(&mut frames)).await?;
+        let mut next = with_timeout(CONNECT_TIMEOUT, "offer", frame(&mut frames)).await?;
         loop {
-            match taking.frame(&next).map_err(malformed)? {
+            match taking.frame(&next).map_err(invalid_data)? {
                 Taken::More => {}
                 Taken::Busy(after) => return Ok(Answer::Busy(after)),
                 Taken::Whole(offer, _) if offer.me.instance != InstanceId::of(name) => {
--- a/silverspindle/src/links.rs
+++ b/silverspindle/src/links.rs
@@ -24,11 +24,11 @@
 use crate::knowledge::keys::Tls;
 
 /// Timeout of a TCP connect, and of the first frame on a connection.
-pub(crate) const CONNECT: Duration = Duration::from_secs(1);
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Timeout of the TLS handshake.
-pub(crate) const HANDSHAKE: Duration = Duration::from_secs(2);
+pub(crate) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout between two reads of a frame that has begun.
-pub(crate) const STALL: Duration = Duration::from_secs(1);
+pub(crate) const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Timeout of writing one piece of a frame; the connection ends when it expires.
 const WRITE: Duration = Duration::from_secs(2);
 /// Maximum number of bytes per read.
@@ -47,7 +47,7 @@
 }
 
 /// Runs `work` with a timeout. `what` names the awaited thing in the error.
-pub(crate) async fn within<T>(
+pub(crate) async fn with_timeout<T>(
     time: Duration,
     what: &str,
     work: impl Future<Output = io::Result<T>>,
@@ -65,7 +65,7 @@
 }
 
 /// An I/O error of kind `InvalidData`.
-pub(crate) fn malformed(why: impl std::fmt::Display) -> io::Error {
+pub(crate) fn invalid_data(why: impl std::fmt::Display) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why.to_string())
 }
 
@@ -80,17 +80,22 @@
 
 impl Connector {
     /// Opens a TLS connection to the router with this name in its certificate.
-    pub async fn reach(&self, name: &str, at: SocketAddr) -> io::Result<Connected> {
+    pub async fn connect_tls(&self, name: &str, at: SocketAddr) -> io::Result<Connected> {
         let server = ServerName::try_from(name.to_owned()).map_err(io::Error::other)?;
         let connector = TlsConnector::from(self.tls.borrow().client.clone());
-        let stream = within(CONNECT, "connection", Async::<TcpStream>::connect(at)).await?;
+        let stream = with_timeout(CONNECT_TIMEOUT, "connection", Async::<TcpStream>::connect(at)).await?;
         let _ = stream.get_ref().set_nodelay(true);
-        within(HANDSHAKE, "handshake", connector.connect(server, stream)).await
+        with_timeout(HANDSHAKE_TIMEOUT, "handshake", connector.connect(server, stream)).await
     }
 
     /// Opens a connection and sends its first message.
-    pub async fn connect(&self, name: &str, at: SocketAddr, first: &Message) -> io::Result<Connected> {
-        let mut stream = self.reach(name, at).await?;
+    pub async fn connect_and_send(
+        &self,
+        name: &str,
+        at: SocketAddr,
+        first: &Message,
+    ) -> io::Result<Connected> {
+        let mut stream = self.connect_tls(name, at).await?;
         stream.write_all(&protocol::encode(first, VERSION)).await?;
         stream.flush().await?;
         Ok(stream)
@@ -98,30 +103,30 @@
 }
 
 /// Writes a frame as a sequence of pieces.
-pub async fn write<F: Serialize>(stream: &mut (impl AsyncWrite + Unpin), frame: &F) -> io::Result<()> {
+pub async fn write_frame<F: Serialize>(stream: &mut (impl AsyncWrite + Unpin), frame: &F) -> io::Result<()> {
     for piece in pieces(frame) {
         let bytes = protocol::encode(&Message::Piece(piece), VERSION);
-        within(WRITE, "room for a frame", stream.write_all(&bytes)).await?;
+        with_timeout(WRITE, "room for a frame", stream.write_all(&bytes)).await?;
     }
-    within(WRITE, "room for a frame", stream.flush()).await
+    with_timeout(WRITE, "room for a frame", stream.flush()).await
 }
 
 /// Reads frames of at most `most` bytes and passes them to `each`, until the connection ends or `each` returns an error.
-pub async fn read<F: DeserializeOwned>(
+pub async fn read_frames<F: DeserializeOwned>(
     stream: impl AsyncRead + Unpin,
     most: usize,
     mut each: impl FnMut(F) -> io::Result<()>,
 ) -> io::Result<()> {
-    let mut messages = Messages::new(stream, measure, CHUNK).or_stall(STALL);
+    let mut messages = Messages::new(stream, measure, CHUNK).or_stall(STALL_TIMEOUT);
     let mut whole = Pieces::up_to(most);
     while let Some(bytes) = messages.next().await? {
-        match protocol::decode(&bytes).map_err(malformed)? {
+        match protocol::decode(&bytes).map_err(invalid_data)? {
             Message::Piece(piece) => {
-                if let Some(frame) = whole.piece(&piece).map_err(malformed)? {
+                if let Some(frame) = whole.piece(&piece).map_err(invalid_data)? {
                     each(frame)?;
                 }
             }
-            _ => return Err(malformed(Malformed::Kind(bytes[4]))),
+            _ => return Err(invalid_data(Malformed::Kind(bytes[4]))),
         }
     }
     Ok(())
@@ -129,7 +134,7 @@
 
 /// Sends the queued frames and reads the peer's frames at the same time, until one direction ends. A frame of the peer
 /// may have at most `most` bytes. The connection is closed when nothing was sent for `idle`.
-pub async fn both<F, S>(
+pub async fn run_duplex<F, S>(
     stream: S,
     frames: &Receiver<F>,
     idle: Option<Duration>,
@@ -151,12 +156,12 @@
                 None
             };
             match future::or(async { frames.recv().await.ok() }, quiet).await {
-                Some(frame) => write(&mut writer, &frame).await?,
+                Some(frame) => write_frame(&mut writer, &frame).await?,
                 None => return writer.close().await,
             }
         }
     };
-    future::or(writes, read(reader, most, each)).await
+    future::or(writes, read_frames(reader, most, each)).await
 }
 
 /// Sends a question and waits for the first frame that `good` accepts as its answer. `why` names a likely cause in the
@@ -171,7 +176,7 @@
 where
     F: Serialize + DeserializeOwned,
 {
-    write(&mut stream, question).await?;
+    write_frame(&mut stream, question).await?;
     let found = RefCell::new(None);
     let (tell, told) = async_channel::bounded::<()>(1);
     let each = |frame| {
@@ -182,13 +187,13 @@
         Ok(())
     };
     let reads = async {
-        read(stream, MOST_FRAME, each).await?;
+        read_frames(stream, MOST_FRAME, each).await?;
         Err(io::Error::other(format!("closed without an answer: {why}")))
     };
     let answered = async {
         let _ = told.recv().await;
         Ok(())
     };
-    within(patience, "answer", future::or(answered, reads)).await?;
+    with_timeout(patience, "answer", future::or(answered, reads)).await?;
     found.take().ok_or_else(|| io::Error::other("no answer"))
 }
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -22,7 +22,7 @@
 use crate::director::{self, Director, Owed};
 use crate::distribution;
 use crate::drain::{self, Drain};
-use crate::front::{Front, LISTEN_BACKLOG, most_clients};
+use crate::front::{Front, LISTEN_BACKLOG, max_client_connections};
 use crate::knowledge::exchange::{self, Hub};
 use crate::knowledge::{Knowledge, keys::Tls, snapshots};
 use crate::links::Connector;
@@ -87,7 +87,7 @@
         let agrees = conf.agreement.as_ref().map_or(0, agreement::descriptors);
         let relays = conf.relay.as_ref().map_or(0, distribution::descriptors);
         let others = OTHER_DESCRIPTORS + exchanges + agrees + relays + calls;
-        let peers = config.sockets.saturating_sub(most_clients(config.sockets) + others);
+        let peers = config.sockets.saturating_sub(max_client_connections(config.sockets) + others);
         if conf.relay.is_some() && peers < LEAST_FOR_PEERS {
             let lacks = format!(
                 "limits.sockets: {} leave {peers} for caches, relay-children take {relays}",
@@ -157,8 +157,8 @@
                 settings: catalogue.settings.clone(),
                 classes: catalogue.classes.clone(),
                 drain: drain.clone(),
-                nudge: front.nudger(),
-                owes: Rc::new(move || owed.get() > 0 || !own.flushed()),
+                nudge: front.drain_notifier(),
+                owes: Rc::new(move || owed.get() > 0 || !own.all_answers_written()),
             };
             if terms.work.is_some() {
                 board.wait_for_orders();
@@ -221,11 +221,11 @@
             tasks.spawn(share(beside, limits, own)).detach();
         }
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
-        tasks.spawn(front.clone().sweep()).detach();
+        tasks.spawn(front.clone().run_drain_sweep()).detach();
         if let Some(listener) = management {
             tracing::info!("management on {}", listener.get_ref().local_addr()?);
             tasks
-                .spawn(Management::new(drain.clone(), front.nudger()).listen(listener, tasks.clone()))
+                .spawn(Management::new(drain.clone(), front.drain_notifier()).listen(listener, tasks.clone()))
                 .detach();
         }
         drain.borrow_mut().started();
@@ -248,7 +248,7 @@
 
     /// Clients' connections held now.
     pub fn clients(&self) -> usize {
-        self.front.held().0
+        self.front.connection_counts().0
     }
 
     /// Takes both configurations read anew: the coordinator may have moved, all else of the platform's stays
@@ -285,7 +285,7 @@
     /// Says that no more clients should come, serves those that still do, and returns when all is answered.
     pub async fn end(&self) {
         self.drain.borrow_mut().end(clock::now());
-        let _ = self.front.nudger().try_send(());
+        let _ = self.front.drain_notifier().try_send(());
         if self.beside.as_ref().is_some_and(|beside| beside.succeeded()) {
             tracing::info!("a younger process serves on {}: it takes the new connections", self.address);
             self.front.stop_accepting();
@@ -293,13 +293,13 @@
         let mut said = clock::now();
         // The listener goes once nobody comes any more; what lies in its queue is taken, read and answered first.
         let nobody = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::LINGER);
-        while !self.drain.borrow().may_exit(clock::now(), self.owed.get(), self.front.settled()) {
+        while !self.drain.borrow().may_exit(clock::now(), self.owed.get(), self.front.is_finished()) {
             if clock::now() >= nobody {
                 self.front.stop_accepting();
             }
             if clock::now() >= said + SAY_EVERY {
                 said = clock::now();
-                let (connections, open) = self.front.held();
+                let (connections, open) = self.front.connection_counts();
                 tracing::info!(
                     "ending: {} owed, {connections} clients' connections with {open} open",
                     self.owed.get()
@@ -337,7 +337,7 @@
     let keep_to = |sockets_left: usize, memory_left: usize| {
         // Clients move from the one to the other, and hold their third together: the rest is the peers'.
         descriptors.keep_to(all.saturating_sub(sockets - sockets_left).max(all / 4));
-        front.keep_to(memory_left);
+        front.set_memory_limit(memory_left);
         let _ = director.try_send(Message::Room((memory_left / COPIES_PART).min(MOST_COPIES)));
     };
     tracing::info!("an older process serves beside this one: both keep to one limit");
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -20,7 +20,7 @@
 use crate::traffic::{Attempt, Descriptor, End, Message, Shared};
 
 /// Capacity of an actor's mailbox. Where it is full the director counts the attempt as never sent.
-pub const MAILBOX: usize = 256;
+pub const MAILBOX_CAPACITY: usize = 256;
 /// Capacity of a connection's command queue: its streams and the commands that abandon them.
 const MOST_WAITING: usize = 96;
 /// Maximum number of abandoned ids that a connection remembers, as their answers may already be on the way.
@@ -49,11 +49,11 @@
 
 /// Message to a peer's actor, from the director or from one of the actor's connections.
 #[derive(Debug)]
-pub enum Order {
+pub enum PeerMessage {
     /// Send an attempt.
     Send(Rc<Attempt>),
     /// Abandon an attempt: its answer is no longer needed. The flag says whether it timed out.
-    GiveUp(Rc<Attempt>, bool),
+    Abandon(Rc<Attempt>, bool),
     /// Probe the peer.
     Probe,
     /// The peer's current address, with a version: a message with a lower version than the last one is ignored.
@@ -61,13 +61,13 @@
     /// The member has left the list: finish the attempts in flight, then end the actor.
     Retire,
     /// A connection is established.
-    Up(u64, Rc<Async<TcpStream>>),
+    Connected(u64, Rc<Async<TcpStream>>),
     /// A connection received an answer.
     Answer(u64, Bytes),
     /// A connection did not write an attempt, because it was no longer allowed to be sent.
-    Unwritten(u64, Rc<Attempt>),
+    NotWritten(u64, Rc<Attempt>),
     /// A connection ended, or could not be established.
-    Down(u64, io::Error),
+    Disconnected(u64, io::Error),
 }
 
 /// Command to a connection's writer.
@@ -115,9 +115,9 @@
     /// Version of the address.
     told: u64,
     shared: Rc<Shared>,
-    mailbox: Receiver<Order>,
+    mailbox: Receiver<PeerMessage>,
     /// Sender of the own mailbox, handed to the connections.
-    own: Sender<Order>,
+    own: Sender<PeerMessage>,
     lines: BTreeMap<u64, Line>,
     next_line: u64,
     next_probe: u64,
@@ -130,8 +130,8 @@
 
 impl Peer {
     /// Starts an actor and returns its mailbox.
-    pub fn start(id: MemberId, address: SocketAddr, shared: &Rc<Shared>) -> Sender<Order> {
-        let (own, mailbox) = async_channel::bounded(MAILBOX);
+    pub fn start(id: MemberId, address: SocketAddr, shared: &Rc<Shared>) -> Sender<PeerMessage> {
+        let (own, mailbox) = async_channel::bounded(MAILBOX_CAPACITY);
         let peer = Peer {
             id,
             address,
@@ -182,12 +182,12 @@
         }
     }
 
-    async fn order(&mut self, order: Order) {
+    async fn order(&mut self, order: PeerMessage) {
         match order {
-            Order::Send(attempt) => self.send(attempt).await,
-            Order::GiveUp(attempt, timed_out) => self.give_up(&attempt, timed_out),
-            Order::Probe => self.probe().await,
-            Order::Address(address, told) => {
+            PeerMessage::Send(attempt) => self.send(attempt).await,
+            PeerMessage::Abandon(attempt, timed_out) => self.give_up(&attempt, timed_out),
+            PeerMessage::Probe => self.probe().await,
+            PeerMessage::Address(address, told) => {
                 if told < self.told {
                     return;
                 }
@@ -199,21 +199,21 @@
                     }
                 }
             }
-            Order::Retire => {
+            PeerMessage::Retire => {
                 self.retired = true;
                 for attempt in self.close_lines() {
                     self.end(End::bare(attempt.ticket, Status::Moot)).await;
                 }
             }
-            Order::Up(line, socket) => {
+            PeerMessage::Connected(line, socket) => {
                 if let Some(line) = self.lines.get_mut(&line) {
                     (line.up, line.socket) = (true, Some(socket));
                 }
             }
-            Order::Answer(line, frame) => self.answer(line, frame).await,
+            PeerMessage::Answer(line, frame) => self.answer(line, frame).await,
             // The attempt has moved to another connection, which reports its end.
-            Order::Unwritten(line, attempt) if attempt.line.get() != line => {}
-            Order::Unwritten(line, attempt) => {
+            PeerMessage::NotWritten(line, attempt) if attempt.line.get() != line => {}
+            PeerMessage::NotWritten(line, attempt) => {
                 // Its id was never used on this connection, so a retry may use it; it is established by now and the
                 // best choice.
                 attempt.call.lines.borrow_mut().retain(|stood| *stood != (self.id, line));
@@ -223,7 +223,7 @@
                 }
                 self.end(End::bare(attempt.ticket, Status::Moot)).await;
             }
-            Order::Down(line, why) => self.down(line, &why).await,
+            PeerMessage::Disconnected(line, why) => self.down(line, &why).await,
         }
     }
 
@@ -251,8 +251,8 @@
         self.mailbox.close();
         while let Ok(order) = self.mailbox.try_recv() {
             match order {
-                Order::Send(attempt) => self.end(End::bare(attempt.ticket, Status::Moot)).await,
-                Order::Probe => self.probed(Status::ConnectFailed, 0, None).await,
+                PeerMessage::Send(attempt) => self.end(End::bare(attempt.ticket, Status::Moot)).await,
+                PeerMessage::Probe => self.probed(Status::ConnectFailed, 0, None).await,
                 _ => {}
             }
         }
@@ -512,14 +512,14 @@
     address: SocketAddr,
     waiting: Receiver<Command>,
     ended: Receiver<()>,
-    actor: Sender<Order>,
+    actor: Sender<PeerMessage>,
     shared: Rc<Shared>,
 }
 
 impl Connection {
     async fn run(self) {
         let Err(why) = self.serve().await;
-        let _ = self.actor.send(Order::Down(self.line, why)).await;
+        let _ = self.actor.send(PeerMessage::Disconnected(self.line, why)).await;
     }
 
     async fn serve(&self) -> Result<std::convert::Infallible, io::Error> {
@@ -529,7 +529,7 @@
         };
         let stream = Rc::new(future::or(Async::<TcpStream>::connect(self.address), late).await?);
         let _ = stream.get_ref().set_nodelay(true);
-        self.actor.send(Order::Up(self.line, stream.clone())).await.map_err(gone)?;
+        self.actor.send(PeerMessage::Connected(self.line, stream.clone())).await.map_err(gone)?;
         let stream = &*stream;
         let classes = &self.shared.catalogue.settings.classes;
         let longest = Duration::from_micros(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
@@ -537,7 +537,7 @@
             // No client waits longer than the longest deadline, so an answer that trickles on is cut off then.
             let mut answers = Messages::new(stream, resp::measure, CHUNK).or_stall(STALL).within(longest);
             while let Some(frame) = answers.next().await? {
-                self.actor.send(Order::Answer(self.line, frame)).await.map_err(gone)?;
+                self.actor.send(PeerMessage::Answer(self.line, frame)).await.map_err(gone)?;
             }
             Err(io::Error::new(io::ErrorKind::UnexpectedEof, "closed by the peer"))
         };
@@ -576,7 +576,7 @@
                 return Ok(None);
             }
             if !self.shared.board.allows(attempt, self.peer) {
-                self.actor.send(Order::Unwritten(self.line, attempt.clone())).await.map_err(gone)?;
+                self.actor.send(PeerMessage::NotWritten(self.line, attempt.clone())).await.map_err(gone)?;
                 return Ok(None);
             }
             let bytes = attempt.command(&self.shared.catalogue);
--- a/silverspindle/tests/actors.rs
+++ b/silverspindle/tests/actors.rs
@@ -16,13 +16,13 @@
 use silverspindle::front::Front;
 use silverspindle::thrift;
 use silverspindle::traffic::{Board, Message, Verdict};
-use silverspindle::upstream::Order;
+use silverspindle::upstream::PeerMessage;
 
 #[test]
 fn a_request_to_a_cache_names_the_fill_options() {
     run(async |tasks| {
         let world = World::new(tasks, 9);
-        world.peer().send(Order::Send(world.attempt(1, "00000000000000a1"))).await.unwrap();
+        world.peer().send(PeerMessage::Send(world.attempt(1, "00000000000000a1"))).await.unwrap();
         let (want, _) = world.cache.next().await;
         // An age below one millisecond must not become 0, which would mean the class's fresh time.
         for (name, value) in [
@@ -50,12 +50,12 @@
         run(async |tasks| {
             let world = World::new(tasks, 9);
             let peer = world.peer();
-            peer.try_send(Order::Send(world.attempt(1, "00000000000000a1"))).unwrap();
+            peer.try_send(PeerMessage::Send(world.attempt(1, "00000000000000a1"))).unwrap();
             tell(&world.shared.board);
             assert_eq!(world.end().await, (1, Status::Moot));
             [PEER, SOURCE].into_iter().for_each(|id| world.shared.board.set_ready(id, true));
             // An attempt decided after the drain or purge is sent, and is the first thing that the cache reads.
-            peer.try_send(Order::Send(world.attempt(2, "00000000000000a2"))).unwrap();
+            peer.try_send(PeerMessage::Send(world.attempt(2, "00000000000000a2"))).unwrap();
             assert_eq!(world.cache.next().await.0[1], "00000000000000a2");
         });
     }
@@ -69,14 +69,14 @@
         let world = World::new(tasks, 9);
         let peer = world.peer();
         let first = world.attempt(1, "00000000000000a1");
-        peer.send(Order::Send(first.clone())).await.unwrap();
+        peer.send(PeerMessage::Send(first.clone())).await.unwrap();
         let (_, one) = world.cache.next().await;
-        peer.send(Order::Send(world.attempt(2, "00000000000000a1"))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(2, "00000000000000a1"))).await.unwrap();
         let (_, two) = world.cache.next().await;
         first.dropped.set(true);
-        peer.send(Order::GiveUp(first, false)).await.unwrap();
+        peer.send(PeerMessage::Abandon(first, false)).await.unwrap();
         assert_eq!(world.cache.next().await.0[0], "never_mind");
-        peer.send(Order::Send(world.attempt(3, "00000000000000a1"))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(3, "00000000000000a1"))).await.unwrap();
         let (_, three) = world.cache.next().await;
         let ports: std::collections::BTreeSet<u16> = [&one, &two, &three].iter().map(|s| port(s)).collect();
         assert_eq!(ports.len(), 3);
@@ -96,14 +96,14 @@
         let peer = world.peer();
         let mut lines = Vec::new();
         for ticket in 1..=3 {
-            peer.send(Order::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
+            peer.send(PeerMessage::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
             lines.push(world.cache.next().await.1);
         }
         (&*lines[1]).write_all(b"noise\r\n").await.unwrap();
         assert_eq!(world.end().await, (2, Status::Reset));
         reply(&lines[0], &[&format!("{:016x}", 1), "NONE", "-", ""]).await;
         assert_eq!(world.end().await, (1, Status::Miss));
-        peer.send(Order::Send(world.attempt(4, &format!("{:016x}", 4)))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(4, &format!("{:016x}", 4)))).await.unwrap();
         assert_eq!(port(&world.cache.next().await.1), port(&lines[0]));
         reply(&lines[2], &[&format!("{:016x}", 3), "NONE", "-", ""]).await;
         assert_eq!(world.end().await, (3, Status::Miss));
@@ -124,7 +124,7 @@
             let mut lines = Vec::new();
             for _ in 0..2 {
                 ticket += 1;
-                peer.send(Order::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
+                peer.send(PeerMessage::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
                 lines.push(world.cache.next().await.1);
             }
             lines
@@ -148,7 +148,7 @@
         let world = World::new(tasks, 1);
         let peer = world.peer();
         for ticket in 0..33 {
-            peer.send(Order::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
+            peer.send(PeerMessage::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
         }
         // The connection of the only descriptor is full, so the last attempt ends as never sent.
         assert_eq!(world.end().await, (32, Status::Moot));
@@ -166,18 +166,18 @@
         let world = World::new(tasks, 9);
         let peer = world.peer();
         let first = world.attempt(1, "00000000000000a1");
-        peer.send(Order::Send(first.clone())).await.unwrap();
+        peer.send(PeerMessage::Send(first.clone())).await.unwrap();
         let (_, one) = world.cache.next().await;
         let other = world.attempt(9, "00000000000000a9");
-        peer.send(Order::Send(other.clone())).await.unwrap();
+        peer.send(PeerMessage::Send(other.clone())).await.unwrap();
         let (_, idle) = world.cache.next().await;
         other.dropped.set(true);
-        peer.send(Order::GiveUp(other, false)).await.unwrap();
+        peer.send(PeerMessage::Abandon(other, false)).await.unwrap();
         assert_eq!(world.cache.next().await.0[0], "never_mind");
         first.dropped.set(true);
-        peer.send(Order::GiveUp(first, true)).await.unwrap();
+        peer.send(PeerMessage::Abandon(first, true)).await.unwrap();
         assert_eq!(world.cache.next().await.0[0], "never_mind");
-        peer.send(Order::Send(world.attempt(2, "00000000000000a2"))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(2, "00000000000000a2"))).await.unwrap();
         let (_, two) = world.cache.next().await;
         assert!(![port(&one), port(&idle)].contains(&port(&two)));
     });
@@ -192,7 +192,7 @@
         let world = World::with(tasks, 9, &options);
         let peer = world.peer();
         for ticket in 1..=2 {
-            peer.send(Order::Send(world.attempt(ticket, "00000000000000a1"))).await.unwrap();
+            peer.send(PeerMessage::Send(world.attempt(ticket, "00000000000000a1"))).await.unwrap();
         }
         let (one, two) = (world.cache.next().await.1, world.cache.next().await.1);
         for line in [&one, &two] {
@@ -200,7 +200,7 @@
             world.end().await;
         }
         while world.cache.closed.is_empty() {
-            peer.send(Order::Send(world.attempt(3, "00000000000000a1"))).await.unwrap();
+            peer.send(PeerMessage::Send(world.attempt(3, "00000000000000a1"))).await.unwrap();
             let (_, line) = world.cache.next().await;
             reply(&line, &["00000000000000a1", "NONE", "-", ""]).await;
             world.end().await;
@@ -220,7 +220,7 @@
             ("FAULT", Status::Error),
             ("LATE", Status::Moot),
         ] {
-            peer.send(Order::Send(world.attempt(5, "00000000000000a1"))).await.unwrap();
+            peer.send(PeerMessage::Send(world.attempt(5, "00000000000000a1"))).await.unwrap();
             let (_, line) = world.cache.next().await;
             reply(&line, &["00000000000000a1", word, &format!("why=dropped,{NAMED}"), ""]).await;
             assert_eq!(world.end().await, (5, status), "{word}");
@@ -251,7 +251,7 @@
         first.answer(1, Verdict::Served(Bytes::from(vec![0; 1001])));
         assert_eq!(good.next().await.unwrap(), served(7, b"small"));
         assert_eq!(slow.next().await, None);
-        assert!(front.flushed());
+        assert!(front.all_answers_written());
     });
 }
 
@@ -272,7 +272,7 @@
         let body = Bytes::from(vec![7; 240_000]);
         let mut seq = 0;
         // The client reads nothing: at some point the kernel takes no more bytes, and answers wait in the process.
-        while front.backlog() < 1_500_000 {
+        while front.unwritten_bytes() < 1_500_000 {
             seq += 1;
             ask(seq);
             let (port, ..) = world.request().await;
--- a/silverspindle/tests/common/orders.rs
+++ b/silverspindle/tests/common/orders.rs
@@ -21,7 +21,7 @@
 use silverspindle::traffic::{
     Attempt, Board, Call, Descriptors, End, Freshness, Lease, Message, Notice, Port, Shared, Taken, Verdict,
 };
-use silverspindle::upstream::Order;
+use silverspindle::upstream::PeerMessage;
 
 pub const MS: Micros = 1000;
 pub const S: Micros = 1_000_000;
@@ -204,7 +204,7 @@
     fn acted(&self, _: &Attempt, _: Freshness) {}
 }
 
-type Mailboxes = Rc<RefCell<BTreeMap<MemberId, Receiver<Order>>>>;
+type Mailboxes = Rc<RefCell<BTreeMap<MemberId, Receiver<PeerMessage>>>>;
 
 /// The request, the simulated environment and what was observed of both.
 pub struct Play {
@@ -511,14 +511,14 @@
         for (member, mailbox) in &*self.mailboxes.borrow() {
             while let Ok(order) = mailbox.try_recv() {
                 match order {
-                    Order::Send(attempt) => {
+                    PeerMessage::Send(attempt) => {
                         let cell = self.members.get(member).map_or(0, |m| m.cell);
                         let (written, ended, given_up) = (None, None, false);
                         let sent = Sent { attempt, member: *member, cell, written, ended, given_up };
                         self.story.push(format!("  attempt {} at member {}", self.sent.len(), member.0));
                         self.sent.push(sent);
                     }
-                    Order::GiveUp(attempt, _) => {
+                    PeerMessage::Abandon(attempt, _) => {
                         let own = |s: &&mut Sent| s.attempt.ticket == attempt.ticket;
                         self.sent.iter_mut().filter(own).for_each(|s| s.given_up = true);
                     }
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -12,7 +12,7 @@
 use silverspindle::traffic::{
     Attempt, Board, Call, Descriptors, Message, Port, Shared, Taken, Terms, Verdict,
 };
-use silverspindle::upstream::{Order, Peer};
+use silverspindle::upstream::{Peer, PeerMessage};
 
 use super::*;
 
@@ -59,7 +59,7 @@
         Self { shared, ends, cache: Cache::start(tasks), client: Rc::default() }
     }
 
-    pub fn peer(&self) -> async_channel::Sender<Order> {
+    pub fn peer(&self) -> async_channel::Sender<PeerMessage> {
         Peer::start(PEER, self.cache.address, &self.shared)
     }
 
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -17,7 +17,7 @@
 use silverspindle::clock;
 use silverspindle::drain::{Drain, GRACE, LINGER};
 use silverspindle::framing::Messages;
-use silverspindle::front::MOST_OPEN;
+use silverspindle::front::MAX_OPEN_REQUESTS;
 use silverspindle::thrift;
 use silverspindle::traffic::{Message, Verdict};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -71,7 +71,7 @@
         drain_long_ago(&drain);
         // At the same time a close is asked for and a request lies in the socket.
         client.get_ref().write_all(&serve(2, &page(OTHER), b"")).unwrap();
-        front.let_go();
+        front.close_releasable();
         let answer = read.next().await.unwrap().expect("an answer before the end");
         assert!(advice(&answer, 2).is_some(), "refused, so long after the drain");
         assert_eq!(read.next().await.unwrap(), None, "then it closes");
@@ -91,7 +91,7 @@
         drain_long_ago(&drain);
         port.answer(seq, Verdict::Served(Bytes::from(vec![7; 100_000])));
         // The connection closes after its last answer; the client has read nothing yet.
-        until(|| front.held().0 == 0).await;
+        until(|| front.connection_counts().0 == 0).await;
         for seq in 2..40 {
             let rid = format!("{seq:016x}");
             let mut fields: Vec<(&str, &str)> = page(RID);
@@ -104,7 +104,7 @@
         assert_eq!(all, served(1, &[7; 100_000]));
         client.get_ref().shutdown(Shutdown::Both).unwrap();
         front.stop_accepting();
-        until(|| front.settled()).await;
+        until(|| front.is_finished()).await;
         while let Ok(message) = world.ends.try_recv() {
             assert!(matches!(message, Message::Left { .. }), "sent on after the shutdown: {message:?}");
         }
@@ -142,10 +142,10 @@
         let client = Client::connect(tasks, address).await;
         assert!(client.well(1).await);
         drain_long_ago(&drain);
-        front.let_go();
+        front.close_releasable();
         assert_eq!(client.next().await, None);
         front.stop_accepting();
-        until(|| front.settled()).await;
+        until(|| front.is_finished()).await;
     });
 }
 
@@ -161,7 +161,7 @@
         let client = Client::connect(tasks, address).await;
         assert!(client.well(1).await);
         drain_long_ago(&drain);
-        front.let_go();
+        front.close_releasable();
         assert_eq!(client.next().await, None);
         front.stop_accepting();
         // SIGTERM came long enough ago for SIGKILL to be due.
@@ -171,8 +171,8 @@
             panic!("waits for the client")
         };
         let settled = async {
-            while !front.settled() {
-                front.let_go();
+            while !front.is_finished() {
+                front.close_releasable();
                 Timer::after(Duration::from_millis(1)).await;
             }
         };
@@ -193,24 +193,24 @@
         let (front, address) = world.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
         client.send(&serve(1, &page(RID), b"")).await;
-        until(|| front.held().1 == 1).await;
+        until(|| front.connection_counts().1 == 1).await;
         drain_long_ago(&drain);
         front.stop_accepting();
-        front.let_go();
+        front.close_releasable();
         // The director owes no answer and none waits to be written, but the request is not finished.
         until(|| !world.ends.is_empty()).await;
         for _ in 0..100 {
             future::yield_now().await;
         }
         drain.borrow_mut().end(clock::now());
-        assert!(front.flushed() && !front.settled());
-        assert!(!drain.borrow().may_exit(clock::now(), 0, front.settled()));
+        assert!(front.all_answers_written() && !front.is_finished());
+        assert!(!drain.borrow().may_exit(clock::now(), 0, front.is_finished()));
         assert!(matches!(world.ends.recv().await.unwrap(), Message::Limits));
         let (port, seq, _) = world.request().await;
         port.answer(seq, Verdict::Failed);
         assert_eq!(client.next().await.unwrap(), thrift::broken(1));
         assert_eq!(client.next().await, None);
-        until(|| front.settled()).await;
+        until(|| front.is_finished()).await;
     });
 }
 
@@ -227,18 +227,18 @@
         let mut client = TcpStream::connect(address).unwrap();
         client.write_all(&serve(1, &page(RID), b"")).unwrap();
         front.stop_accepting();
-        assert!(!front.settled(), "a listener with a queue");
+        assert!(!front.is_finished(), "a listener with a queue");
         // Within the time after SIGTERM in which all requests are taken.
         drain.borrow_mut().end(clock::now());
         let (port, seq, _) = world.request().await;
-        assert!(!front.settled());
+        assert!(!front.is_finished());
         port.answer(seq, Verdict::Failed);
         let client = Async::new(client).unwrap();
         let mut all = Vec::new();
         (&client).read_to_end(&mut all).await.unwrap();
         assert_eq!(all, thrift::broken(1));
         drop(client);
-        until(|| front.settled()).await;
+        until(|| front.is_finished()).await;
         assert!(TcpStream::connect(address).is_err(), "no connection is accepted afterwards");
     });
 }
@@ -259,7 +259,7 @@
     // The reply to an unknown method repeats its name. All replies fit into the reader's queue, so that the reader never
     // waits for room and a close would reach it.
     const LONG_REPLIES: i32 = 12;
-    const _: () = assert!((LONG_REPLIES as usize) < MOST_OPEN);
+    const _: () = assert!((LONG_REPLIES as usize) < MAX_OPEN_REQUESTS);
     const LONGEST_SEGMENT: usize = 65_536;
     let unknown = "x".repeat(60_000);
     run(async |tasks| {
@@ -286,16 +286,16 @@
         drain_long_ago(&drain);
         front.stop_accepting();
         for _ in 0..100 {
-            front.let_go();
+            front.close_releasable();
             future::yield_now().await;
-            assert_eq!(front.held().0, 1, "closed over replies that wait");
+            assert_eq!(front.connection_counts().0, 1, "closed over replies that wait");
         }
-        assert!(!front.settled());
+        assert!(!front.is_finished());
         let mut all = Vec::new();
         (&client).read_to_end(&mut all).await.expect("every reply, then the end and no reset");
         assert!(all == replies, "{} bytes of {}", all.len(), replies.len());
         drop(client);
-        until(|| front.settled()).await;
+        until(|| front.is_finished()).await;
     });
 }
 
@@ -431,7 +431,7 @@
         coordinator.accept().await.unwrap();
         assert!(open() <= before + 8, "descriptors grow");
         let held = router.clients();
-        assert!(held <= silverspindle::front::most_clients(64), "{held} connections of clients");
+        assert!(held <= silverspindle::front::max_client_connections(64), "{held} connections of clients");
     });
 }
 
@@ -449,7 +449,7 @@
         drain_long_ago(&drain);
         port.answer(seq, Verdict::Served(Bytes::from_static(b"late")));
         // Before the writer runs.
-        front.let_go();
+        front.close_releasable();
         assert_eq!(read.next().await.unwrap().expect("an answer"), served(1, b"late"));
         assert_eq!(read.next().await.unwrap(), None, "then it closes");
     });
--- a/silverspindle/tests/crossing_peers.rs
+++ b/silverspindle/tests/crossing_peers.rs
@@ -18,7 +18,7 @@
 use silverspindle::clock;
 use silverspindle::thrift;
 use silverspindle::traffic::Attempt;
-use silverspindle::upstream::Order;
+use silverspindle::upstream::PeerMessage;
 
 const RID: &str = "9b1f03aa5c7e2d41";
 const OTHER: &str = "00000000000000a2";
@@ -87,7 +87,7 @@
             let gate = Gate::closed();
             let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
             let attempt = world.attempt(1, RID);
-            peer.send(Order::Send(attempt.clone())).await.unwrap();
+            peer.send(PeerMessage::Send(attempt.clone())).await.unwrap();
             Timer::after(Duration::from_millis(20)).await;
             overtake(&world, &attempt);
             let line = gate.open().await;
@@ -109,7 +109,7 @@
         let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
         let mut attempt = Rc::into_inner(world.attempt(1, RID)).unwrap();
         attempt.write_by = clock::now();
-        peer.send(Order::Send(Rc::new(attempt))).await.unwrap();
+        peer.send(PeerMessage::Send(Rc::new(attempt))).await.unwrap();
         let line = gate.open().await;
         assert!(reads_nothing(&line).await);
         assert_eq!(world.end().await, (1, Status::Moot));
@@ -202,16 +202,16 @@
         let world = World::with(tasks, 9, &slow_dials());
         let gate = Gate::closed();
         let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
-        peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
         Timer::after(Duration::from_millis(20)).await;
-        peer.send(Order::Address(world.cache.address, 5)).await.unwrap();
+        peer.send(PeerMessage::Address(world.cache.address, 5)).await.unwrap();
         // An older version that arrives late is ignored.
-        peer.send(Order::Address(gate.address, 4)).await.unwrap();
+        peer.send(PeerMessage::Address(gate.address, 4)).await.unwrap();
         let (want, line) = world.cache.next().await;
         assert_eq!(want[1], RID);
         reply(&line, &[RID, "NONE", "-", ""]).await;
         assert_eq!(world.end().await, (1, Status::Miss));
-        peer.send(Order::Send(world.attempt(2, OTHER))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(2, OTHER))).await.unwrap();
         assert_eq!(world.cache.next().await.0[1], OTHER);
     });
 }
@@ -224,10 +224,10 @@
         let world = World::with(tasks, 9, &slow_dials());
         let gate = Gate::closed();
         let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
-        peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
         Timer::after(Duration::from_millis(20)).await;
-        peer.try_send(Order::Retire).unwrap();
-        peer.try_send(Order::Send(world.attempt(2, OTHER))).unwrap();
+        peer.try_send(PeerMessage::Retire).unwrap();
+        peer.try_send(PeerMessage::Send(world.attempt(2, OTHER))).unwrap();
         assert_eq!(world.end().await, (1, Status::Moot));
         assert_eq!(world.end().await, (2, Status::Moot));
         while !peer.is_closed() {
@@ -324,7 +324,7 @@
         }
         let world = World::with(tasks, 9, &options);
         let peer = world.peer();
-        peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
         let (_, line) = world.cache.next().await;
         let head = format!("*4\r\n$16\r\n{RID}\r\n$3\r\nHIT\r\n$19\r\nversion=aa,stamp=11\r\n$200000\r\n");
         (&*line).write_all(head.as_bytes()).await.unwrap();
@@ -350,13 +350,13 @@
         options["limits"]["idle_close_ms"] = json!(600.0);
         let world = World::with(tasks, 9, &options);
         let peer = world.peer();
-        peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
         let (_, one) = world.cache.next().await;
         reply(&one, &[RID, "NONE", "-", ""]).await;
         assert_eq!(world.end().await, (1, Status::Miss));
         // No task runs meanwhile, nor does the sweep; the attempt is in the mailbox when the actor runs again.
         std::thread::sleep(Duration::from_millis(400));
-        peer.try_send(Order::Send(world.attempt(2, OTHER))).unwrap();
+        peer.try_send(PeerMessage::Send(world.attempt(2, OTHER))).unwrap();
         let (_, two) = world.cache.next().await;
         assert_ne!(port(&one), port(&two));
     });
@@ -377,18 +377,18 @@
         };
         // One connection that the cache does not read, and far more bytes than both sockets hold.
         let big = write(1, 16_000_000);
-        peer.send(Order::Send(big.clone())).await.unwrap();
+        peer.send(PeerMessage::Send(big.clone())).await.unwrap();
         let (line, _) = listener.accept().await.unwrap();
         while !big.written.get() {
             future::yield_now().await;
         }
         let waiting: Vec<_> = (2..=5).map(|ticket| write(ticket, 10)).collect();
         for attempt in &waiting {
-            peer.send(Order::Send(attempt.clone())).await.unwrap();
+            peer.send(PeerMessage::Send(attempt.clone())).await.unwrap();
         }
         Timer::after(Duration::from_millis(20)).await;
         waiting[0].dropped.set(true);
-        peer.send(Order::GiveUp(waiting[0].clone(), false)).await.unwrap();
+        peer.send(PeerMessage::Abandon(waiting[0].clone(), false)).await.unwrap();
         waiting[1].call.over.set(true);
         let mut all = Vec::new();
         let mut buffer = vec![0; 1 << 16];
@@ -412,7 +412,7 @@
     run(async |tasks| {
         let world = World::new(tasks, 9);
         let peer = world.peer();
-        peer.send(Order::Send(world.attempt(1, RID))).await.unwrap();
+        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
         let (_, line) = world.cache.next().await;
         reply(&line, &[RID, "PONG", "-", ""]).await;
         assert_eq!(world.end().await, (1, Status::Reset));
@@ -432,10 +432,10 @@
         let world = World::new(tasks, 9);
         let peer = world.peer();
         let attempt = world.attempt(1, RID);
-        peer.send(Order::Send(attempt.clone())).await.unwrap();
+        peer.send(PeerMessage::Send(attempt.clone())).await.unwrap();
         let (_, line) = world.cache.next().await;
         let left_before = attempt.line.get() + 1;
-        peer.send(Order::Unwritten(left_before, attempt)).await.unwrap();
+        peer.send(PeerMessage::NotWritten(left_before, attempt)).await.unwrap();
         reply(&line, &[RID, "FAULT", "-", ""]).await;
         assert_eq!(world.end().await, (1, Status::Error));
     });
--- a/silverspindle/tests/distribution.rs
+++ b/silverspindle/tests/distribution.rs
@@ -18,7 +18,7 @@
 use silverspindle::knowledge::keys::Tls;
 use silverspindle::links::{self, Connected, Connector};
 use silverspindle::traffic::{Attempt, Freshness, Lease};
-use silverspindle::upstream::Order;
+use silverspindle::upstream::PeerMessage;
 use silverspindle_agreement::PIECE;
 use silverspindle_knowledge::protocol::{self, Message, VERSION};
 use silverspindle_knowledge::{InstanceId, Source};
@@ -374,7 +374,7 @@
         let young = attempt(3, "00000000000000a3", Some(2_000_000));
         feed.oldest.set(Some(2_000_000));
         for attempt in [unlimited, too_old, young] {
-            peer.send(Order::Send(attempt)).await.unwrap();
+            peer.send(PeerMessage::Send(attempt)).await.unwrap();
         }
         let (wanted, line) = world.cache.next().await;
         assert_eq!(wanted[1], "00000000000000a3");
@@ -384,7 +384,7 @@
         assert_eq!(world.end().await.0, 3);
         assert!(world.cache.nothing_came());
         feed.oldest.set(Some(7_000_000));
-        peer.send(Order::Send(attempt(4, "00000000000000a4", None))).await.unwrap();
+        peer.send(PeerMessage::Send(attempt(4, "00000000000000a4", None))).await.unwrap();
         assert_eq!(world.cache.next().await.0[1], "00000000000000a4");
         assert_eq!(*feed.acted.borrow(), [3, 4]);
     });
@@ -412,7 +412,7 @@
 async fn child(office: &Office, name: &str, at: SocketAddr) -> Connected {
     let me = Source { instance: InstanceId::of(name), incarnation: 1 };
     let tls = Rc::new(RefCell::new(Tls::read(&office.files(name)).unwrap()));
-    Connector { me, tls }.connect("n0", at, &Message::Subscribe { me }).await.unwrap()
+    Connector { me, tls }.connect_and_send("n0", at, &Message::Subscribe { me }).await.unwrap()
 }
 
 /// Reads on until the peer ends the connection.
@@ -464,7 +464,7 @@
         for (what, frames) in wrongs {
             let mut stream = child(&office, "n2", above).await;
             for frame in &frames {
-                links::write(&mut stream, frame).await.unwrap();
+                links::write_frame(&mut stream, frame).await.unwrap();
             }
             assert!(closed(&mut stream).await, "{what}");
         }
--- a/silverspindle/tests/router.rs
+++ b/silverspindle/tests/router.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use silverspindle::front::most_clients;
+use silverspindle::front::max_client_connections;
 use silverspindle::thrift;
 
 const RID: &str = "9b1f03aa5c7e2d41";
@@ -358,7 +358,7 @@
         busy.send(&serve(1, &page(RID), b"")).await;
         let (_, line) = cache.next().await;
         let mut held = Vec::new();
-        for _ in 0..3 * most_clients(64) {
+        for _ in 0..3 * max_client_connections(64) {
             let client = Client::connect(tasks, router.address).await;
             assert!(client.well(1).await);
             held.push(client);
