--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -25,7 +25,7 @@
 use crate::clock::{self, Stamp};
 use crate::copies::{Copies, Copy};
 use crate::counters::{Counters, RefusalReason};
-use crate::feed::{Listed, News, Purged};
+use crate::feed::{ListEntry, PurgeTarget, Update};
 use crate::knowledge::Knowledge;
 use crate::skew::Skew;
 use crate::traffic::{
@@ -189,7 +189,7 @@
     }
 
     /// Applies changed list entries: to the peer actors and to the module.
-    fn act_by(&mut self, changed: Vec<Listed>) {
+    fn act_by(&mut self, changed: Vec<ListEntry>) {
         if changed.is_empty() {
             return;
         }
@@ -209,7 +209,7 @@
             let due = self.next_timer();
             let wake = async {
                 match due {
-                    Some(at) => clock::at(at).await,
+                    Some(at) => clock::timer_at(at).await,
                     None => Timer::never().await,
                 };
                 Some(Next::Due)
@@ -239,13 +239,13 @@
 
     /// Handles an event of the coordinator. `whole` is the kind under which a complete list is passed to the
     /// module: read back from disk at the start, or received.
-    pub fn news(&mut self, news: News, whole: ListKind) {
+    pub fn news(&mut self, news: Update, whole: ListKind) {
         match news {
-            News::Nothing => {
+            Update::UpToDate => {
                 self.knowledge.iter_mut().for_each(Knowledge::heard);
                 self.review();
             }
-            News::Members { complete, mut members } => {
+            Update::Members { complete, mut members } => {
                 let told: Vec<Member> = members.iter().map(|m| m.member.clone()).collect();
                 self.shared.board.note_members(complete, &told);
                 self.knowledge.iter_mut().for_each(|k| k.listed(complete, &members));
@@ -262,7 +262,7 @@
                 self.event(Event::Members { kind: if complete { whole } else { ListKind::Delta }, members });
                 self.review();
             }
-            News::Purged { what, at } => {
+            Update::Purged { what, at } => {
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
                 self.purged(what, at);
             }
@@ -270,15 +270,15 @@
     }
 
     /// Applies a purge to the own copies and the attempts not yet written, and passes it to the module.
-    fn purged(&mut self, what: Purged, at: Stamp) {
+    fn purged(&mut self, what: PurgeTarget, at: Stamp) {
         let now = self.now();
         let keep = self.settings.purge_done + self.settings.purge_grace;
         self.shared.board.purged(now, what, keep);
         self.copies.purge(now, what, at);
         self.drop_offered(what, at);
         let (object, group) = match what {
-            Purged::Object(key) => (Some(format!("{key:016x}")), 0),
-            Purged::Group(group) => (None, group),
+            PurgeTarget::Object(key) => (Some(format!("{key:016x}")), 0),
+            PurgeTarget::Group(group) => (None, group),
         };
         self.event(Event::Purged { object, group, age: self.skew.purge_age(now, at) });
     }
@@ -292,7 +292,7 @@
     }
 
     /// Applies a list entry: starts, updates or retires the member's actor.
-    fn listed(&mut self, m: &Listed) {
+    fn listed(&mut self, m: &ListEntry) {
         let id = m.member.id;
         if m.member.lifecycle == Lifecycle::Gone {
             return self.gone(id);
--- a/silverspindle/src/links.rs
+++ b/silverspindle/src/links.rs
@@ -20,7 +20,7 @@
 use silverspindle_knowledge::Source;
 use silverspindle_knowledge::protocol::{self, Malformed, Message, VERSION};
 
-use crate::framing::{self, Messages};
+use crate::framing::{self, MessageReader};
 use crate::knowledge::keys::Tls;
 
 /// Timeout of a TCP connect, and of the first frame on a connection.
@@ -117,7 +117,7 @@
     most: usize,
     mut each: impl FnMut(F) -> io::Result<()>,
 ) -> io::Result<()> {
-    let mut messages = Messages::new(stream, measure, CHUNK).or_stall(STALL_TIMEOUT);
+    let mut messages = MessageReader::new(stream, measure, CHUNK).with_stall_timeout(STALL_TIMEOUT);
     let mut whole = Pieces::up_to(most);
     while let Some(bytes) = messages.next().await? {
         match protocol::decode(&bytes).map_err(invalid_data)? {
