--- a/silverspindle/src/copies.rs
+++ b/silverspindle/src/copies.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use bitternhold::{EVERY_GROUP, Micros};
+use bitternhold::{ALL_GROUPS, Micros};
 use bytes::Bytes;
 
 use crate::clock::Stamp;
@@ -71,7 +71,7 @@
     pub fn falls_to(&self, object: u64, what: PurgeTarget, at: Stamp) -> bool {
         let named = match what {
             PurgeTarget::Object(key) => key == object,
-            PurgeTarget::Group(group) => group == self.group || group == EVERY_GROUP,
+            PurgeTarget::Group(group) => group == self.group || group == ALL_GROUPS,
         };
         named && self.stamp <= at
     }
@@ -153,7 +153,7 @@
 
     /// Whether a copy of this part that the origin issued at this time is covered by a remembered purge.
     pub fn is_purged(&self, key: &Key, group: u64, stamp: Stamp) -> bool {
-        let purged = [PurgeTarget::Object(key.0), PurgeTarget::Group(group), PurgeTarget::Group(EVERY_GROUP)];
+        let purged = [PurgeTarget::Object(key.0), PurgeTarget::Group(group), PurgeTarget::Group(ALL_GROUPS)];
         purged.iter().filter_map(|what| self.purges.get(what)).any(|(at, _)| stamp <= *at)
     }
 
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -1,7 +1,7 @@
 //! How the director handles the feed: it applies updates in order, acknowledges what it has applied, and
 //! treats all older copies as possibly purged while the feed's lease has run out.
 
-use bitternhold::{EVERY_GROUP, Event, ListKind, Micros};
+use bitternhold::{ALL_GROUPS, Event, ListKind, Micros};
 
 use super::Director;
 use crate::clock::Stamp;
@@ -19,7 +19,7 @@
         match notice {
             Notice::News(news) => self.news(news, ListKind::Full),
             Notice::PurgedBefore(at) => {
-                let what = PurgeTarget::Group(EVERY_GROUP);
+                let what = PurgeTarget::Group(ALL_GROUPS);
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
                 self.purged(what, at);
             }
@@ -46,7 +46,7 @@
         if self.told_stale.is_none_or(|told| now >= told + TELL_STALE) {
             self.told_stale = Some(now);
             let age = oldest.saturating_sub(TELL_STALE);
-            self.backlog.push_back(Event::Purged { object: None, group: EVERY_GROUP, age });
+            self.backlog.push_back(Event::Purged { object: None, group: ALL_GROUPS, age });
         }
     }
 }
--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -12,7 +12,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use bitternhold::settings::Catalogue;
+use bitternhold::settings::SiteSettings;
 use bitternhold::{AgeingFilter, Micros};
 use futures_lite::future;
 
@@ -73,7 +73,7 @@
 /// The client side of the router: state shared by all clients' connections.
 #[derive(Debug)]
 pub struct Front {
-    catalogue: Rc<Catalogue>,
+    site: Rc<SiteSettings>,
     director: Sender<Message>,
     /// Drain state of the router. Answers to `isWell` and the readiness check on the management address come from it.
     drain: Rc<RefCell<Drain>>,
@@ -111,14 +111,14 @@
     /// Creates a front that passes its requests to the director. Answers that slow clients have not read yet may take a
     /// third of the memory, bodies of writes an eighth.
     pub fn new(
-        catalogue: Rc<Catalogue>,
+        site: Rc<SiteSettings>,
         director: Sender<Message>,
         memory: usize,
         sockets: usize,
         drain: Rc<RefCell<Drain>>,
     ) -> Rc<Self> {
         Rc::new(Self {
-            catalogue,
+            site,
             director,
             drain,
             counters: Rc::default(),
@@ -235,7 +235,7 @@
     fn refuse(&self, call: Call, reason: RefusalReason) -> Verdict {
         self.counters.refused(reason);
         tracing::debug!(rid = call.rid, reason = reason.name(), "refused");
-        Verdict::Refused(Refusal::new(SafeToRetry::unsent(call), &self.catalogue.settings, STAY_AWAY))
+        Verdict::Refused(Refusal::new(SafeToRetry::unsent(call), &self.site.settings, STAY_AWAY))
     }
 
     /// Asks one unused connection to close, to make room for a client that waits to be accepted. Otherwise connections
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -6,7 +6,7 @@
 use std::fmt::Debug;
 use std::rc::Rc;
 
-use bitternhold::{EVERY_GROUP, Lifecycle, Member, MemberId, Micros, Note};
+use bitternhold::{ALL_GROUPS, Lifecycle, Member, MemberId, Micros, Note};
 use silverspindle_work::Ledger;
 
 use super::Attempt;
@@ -303,7 +303,7 @@
             && self.is_ready(to)
             && attempt.terms.source.is_none_or(|source| self.is_ready(source))
             && !since(PurgeTarget::Group(attempt.call.group))
-            && !since(PurgeTarget::Group(EVERY_GROUP))
+            && !since(PurgeTarget::Group(ALL_GROUPS))
             && !attempt.call.key().is_some_and(|key| since(PurgeTarget::Object(key)))
             // An attempt decided before the feed's lease ran out asks for copies that may have been purged.
             && oldest.is_none_or(|oldest| attempt.terms.max_age.is_some_and(|age| age <= oldest));
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -9,7 +9,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
-use bitternhold::{Effect, Load, MemberId, Micros, Status};
+use bitternhold::{Idempotency, Load, MemberId, Micros, Status};
 use bytes::Bytes;
 use futures_lite::{AsyncWriteExt, future};
 use rustix::io::Errno;
@@ -157,7 +157,7 @@
 
     async fn run(mut self) {
         // The sweep is due by the clock and not after an idle moment: a steady flow of messages must not postpone it.
-        let sweep_every = SWEEP.min(self.shared.catalogue.idle_close / IDLE_PART).max(SWEEP_LEAST);
+        let sweep_every = SWEEP.min(self.shared.site.idle_close / IDLE_PART).max(SWEEP_LEAST);
         let mut due = clock::now() + sweep_every;
         loop {
             let timer = clock::timer_at(due);
@@ -270,11 +270,12 @@
     /// told apart. A connection that the peer may be about to close is not chosen, with a wider margin for classes that
     /// may not be repeated.
     fn line_for(&mut self, id: &[u8], attempt: Option<&Attempt>) -> Option<u64> {
-        let streams = self.shared.catalogue.streams_per_conn;
+        let streams = self.shared.site.streams_per_conn;
         let (now, idle, me) = (clock::now(), self.idle(), self.id);
-        let classes = &self.shared.catalogue.settings.classes;
-        let once =
-            attempt.is_some_and(|a| classes.get(a.call.class).is_none_or(|c| c.effect == Effect::AtMostOnce));
+        let classes = &self.shared.site.settings.classes;
+        let once = attempt.is_some_and(|a| {
+            classes.get(a.call.class).is_none_or(|c| c.idempotency == Idempotency::AtMostOnce)
+        });
         let idle = if once { idle / 4 } else { idle };
         let takes = |n: u64, l: &Line| {
             l.streams.len() < streams
@@ -291,7 +292,7 @@
         let found = able.min_by_key(|(n, l)| (l.streams.len(), !l.up, **n));
         let found = found.map(|(n, l)| (*n, l.streams.len()));
         let plenty = self.shared.descriptors.are_plenty();
-        let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.catalogue.handshake_price;
+        let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.site.handshake_cost;
         match found {
             Some((n, streams)) if streams == 0 || !plenty || cheaper(streams) => return Some(n),
             _ => {}
@@ -417,7 +418,7 @@
             }
             Stream::Attempt(attempt, _) => {
                 // The answer to a write is not a copy and has no name.
-                let classes = &self.shared.catalogue.settings.classes;
+                let classes = &self.shared.site.settings.classes;
                 let whole =
                     answer.version.is_some() || classes.get(attempt.call.class).is_some_and(|c| c.write);
                 let body = match answer.code {
@@ -483,7 +484,7 @@
     /// Idle time after which a connection is closed: less than the peer's idle timeout, so that no request crosses the
     /// peer's close.
     fn idle(&self) -> Micros {
-        let told = self.shared.catalogue.idle_close;
+        let told = self.shared.site.idle_close;
         told - (told / IDLE_PART).max(IDLE_MARGIN).min(told / 2)
     }
 
@@ -527,14 +528,14 @@
 
     async fn serve(&self) -> Result<std::convert::Infallible, io::Error> {
         let late = async {
-            Timer::after(Duration::from_micros(self.shared.catalogue.settings.connect_timeout)).await;
+            Timer::after(Duration::from_micros(self.shared.site.settings.connect_timeout)).await;
             Err(io::Error::new(io::ErrorKind::TimedOut, "connect timed out"))
         };
         let stream = Rc::new(future::or(Async::<TcpStream>::connect(self.address), late).await?);
         let _ = stream.get_ref().set_nodelay(true);
         self.actor.send(PeerMessage::Connected(self.line, stream.clone())).await.map_err(gone)?;
         let stream = &*stream;
-        let classes = &self.shared.catalogue.settings.classes;
+        let classes = &self.shared.site.settings.classes;
         let longest = Duration::from_micros(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
         let read = async {
             // No client waits longer than the longest deadline, so an answer that trickles on is cut off then.
@@ -584,7 +585,7 @@
                 self.actor.send(PeerMessage::NotWritten(self.line, attempt.clone())).await.map_err(gone)?;
                 return Ok(None);
             }
-            let bytes = attempt.command(&self.shared.catalogue);
+            let bytes = attempt.command(&self.shared.site);
             match stream.get_ref().write(&bytes) {
                 Ok(written) => {
                     attempt.written.set(true);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,16 +1,25 @@
-//! A small world for the module: settings, members, and a record of what a director was asked and did.
+//! Test fixture of the decision module: settings, members, and a director on a simulated clock.
 #![allow(dead_code)]
 
 use bitternhold::*;
 
+/// A millisecond and a second.
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
+/// Member kinds.
 pub const CACHE: usize = 0;
 pub const PARENT: usize = 1;
 pub const ORIGIN: usize = 2;
 
 pub fn class() -> Class {
-    Class { aim: 500 * MS, aim_stretch: 2.0, deadline: 5 * S, window: 2 * S, worth: 1.0, ..Class::default() }
+    Class {
+        aim: 500 * MS,
+        aim_stretch: 2.0,
+        deadline: 5 * S,
+        dedup_window: 2 * S,
+        worth: 1.0,
+        ..Class::default()
+    }
 }
 
 pub fn settings() -> Settings {
@@ -24,21 +33,21 @@
         parent_kind: Some(PARENT),
         origin_kind: Some(ORIGIN),
         flow_kb_per_s: 5_000.0,
-        joins: true,
-        tells: Tells::All,
+        join_fills: true,
+        detail: Detail::All,
         weights: Weights::Nominal,
         max_attempts: 6,
         max_retry_after: S,
         drain_grace: 2 * S,
-        cold_from: 0.2,
-        cold_time: 10 * S,
-        fall_multiple: 2.0,
-        fall_window: 2 * S,
-        parent_cold_from: 0.1,
-        parent_cold_time: 20 * S,
-        parent_fall_multiple: 2.0,
+        cold_start_share: 0.2,
+        cold_duration: 10 * S,
+        overload_multiple: 2.0,
+        overload_window: 2 * S,
+        parent_cold_start_share: 0.1,
+        parent_cold_duration: 20 * S,
+        parent_overload_multiple: 2.0,
         purge_grace: 500 * MS,
-        purge_done: 6 * S,
+        purge_complete_within: 6 * S,
         ..Settings::default()
     }
 }
@@ -55,6 +64,7 @@
     all
 }
 
+/// A request of class 0 that is valid for 3 seconds.
 pub fn request(id: u128, object: &str, now: Micros) -> Request {
     Request {
         id: RequestId(id),
@@ -65,10 +75,11 @@
         size_kb: Some(500.0),
         write: false,
         valid_until: now + 3 * S,
-        own: None,
+        own_copy: None,
     }
 }
 
+/// An outcome after 100 ms; a successful one is a hit and closes the request.
 pub fn outcome(id: u128, attempt: u32, member: MemberId, status: Status) -> Outcome {
     Outcome {
         id: RequestId(id),
@@ -78,43 +89,48 @@
         elapsed: 100 * MS,
         closed: status == Status::Ok,
         note: (status == Status::Ok).then_some(Note::Hit),
-        waited: None,
+        fill_time: None,
         load: None,
     }
 }
 
+/// A director and its simulated clock.
 pub struct World {
     pub director: Director,
     pub now: Micros,
 }
 
 impl World {
+    /// A director that knows the members of [`fleet`].
     pub fn new(settings: Settings) -> Self {
         Self::with(settings, fleet())
     }
 
     pub fn with(settings: Settings, members: Vec<Member>) -> Self {
         let mut world = Self { director: Director::new(1, settings), now: 100 * S };
-        world.tell(Event::Members { kind: ListKind::Full, members });
+        world.handle(Event::Members { kind: ListKind::Full, members });
         world
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Passes an event to the director and returns its actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.director.handle(self.now, event, &mut out);
         out
     }
 
+    /// Sends a request for an object.
     pub fn ask(&mut self, id: u128, object: &str) -> Vec<Action> {
         let request = request(id, object, self.now);
-        self.tell(Event::Request(request))
+        self.handle(Event::Request(request))
     }
 
+    /// Ends an attempt.
     pub fn end(&mut self, id: u128, attempt: u32, member: MemberId, status: Status) -> Vec<Action> {
-        self.tell(Event::Outcome(outcome(id, attempt, member, status)))
+        self.handle(Event::Outcome(outcome(id, attempt, member, status)))
     }
 
-    /// Asks and lets it be served, so that nothing stays open.
+    /// Sends a request and its successful outcome, so that nothing stays open.
     pub fn serve(&mut self, id: u128, object: &str) -> Sent {
         let sent = sent(&self.ask(id, object));
         self.end(id, 0, sent.member, Status::Ok);
@@ -122,6 +138,7 @@
     }
 }
 
+/// An attempt that the director sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub member: MemberId,
@@ -131,6 +148,7 @@
     pub mode: FillMode,
 }
 
+/// All attempts among the actions.
 pub fn sends(actions: &[Action]) -> Vec<Sent> {
     let one = |a: &Action| match *a {
         Action::Fetch { member, source, keep, max_age, mode, .. } => {
@@ -141,6 +159,7 @@
     actions.iter().filter_map(one).collect()
 }
 
+/// The only attempt among the actions.
 pub fn sent(actions: &[Action]) -> Sent {
     let all = sends(actions);
     assert_eq!(all.len(), 1, "one attempt: {actions:?}");
--- a/wirehost/src/codec.rs
+++ b/wirehost/src/codec.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use bitternhold::settings::{Catalogue, micros, place};
+use bitternhold::settings::{SiteSettings, index_of, micros};
 use bitternhold::*;
 use serde_json::{Map, Value};
 
@@ -13,7 +13,7 @@
 /// A director, with the names of classes, zones and kinds from its settings.
 struct Instance {
     director: Director,
-    names: Catalogue,
+    names: SiteSettings,
 }
 
 /// All director instances of this process, and the numbered member lists that `fleet` events refer to.
@@ -157,7 +157,7 @@
         match msg.name {
             "configure" => {
                 let options = msg.required("options", Value::as_object)?;
-                let names = Catalogue::read(options);
+                let names = SiteSettings::parse(options);
                 let director = Director::new(msg.number("prng")?, names.settings.clone());
                 self.instances.insert(who, Instance { director, names });
                 return Ok(());
@@ -193,14 +193,14 @@
             }
             "call" => Event::Request(Request {
                 id: msg.ticket()?,
-                class: place(&instance.names.classes, msg.optional("band", Value::as_str)?),
+                class: index_of(&instance.names.classes, msg.optional("band", Value::as_str)?),
                 object: msg.text("key")?.to_owned(),
                 part: msg.optional("range_no", whole_number)?.unwrap_or(0),
                 group: msg.optional("tag", whole_number)?.unwrap_or(0),
                 size_kb: msg.optional("length_kb", Value::as_f64)?.filter(|kb| *kb > 0.0),
                 write: msg.flag("write")?,
                 valid_until: msg.micros("valid_until_ms")?,
-                own: None,
+                own_copy: None,
             }),
             "ended" => Event::Outcome(Outcome {
                 id: msg.ticket()?,
@@ -210,7 +210,7 @@
                 elapsed: msg.micros("elapsed_ms")?,
                 closed: msg.flag("no_more")?,
                 note: msg.optional("detail", note)?.flatten(),
-                waited: msg.optional("first_byte_ms", micros)?,
+                fill_time: msg.optional("first_byte_ms", micros)?,
                 load: msg.optional("telemetry", load)?,
             }),
             "head_received" => Event::Streaming { id: msg.ticket()?, attempt: msg.number("seq_no")? as u32 },
@@ -244,8 +244,8 @@
                 2 => Lifecycle::Draining,
                 _ => return Err(msg.malformed("lifecycle")),
             },
-            zone: place(&self.names.zones, msg.optional("hall", Value::as_str)?),
-            kind: place(&self.names.kinds, msg.optional("sku", Value::as_str)?),
+            zone: index_of(&self.names.zones, msg.optional("hall", Value::as_str)?),
+            kind: index_of(&self.names.kinds, msg.optional("sku", Value::as_str)?),
             cell: msg.optional("unit_group", whole_number)?.unwrap_or(0),
             weight: msg.optional("nominal", Value::as_f64)?.unwrap_or(0.0),
             started: msg.optional("born_ms", micros)?.unwrap_or(0),
@@ -261,7 +261,7 @@
 /// Appends an action to a reply as JSON.
 fn encode(now: Micros, action: &Action, out: &mut String) {
     let result = match action {
-        Action::Look { id, member, until } => write!(
+        Action::Lookup { id, member, until } => write!(
             out,
             r#"{{"m":"deliver","ticket":"{}","node":{},"abandon_at_ms":{}}}"#,
             ticket_text(*id),
