--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -127,8 +127,8 @@
         Status::Error => rng.one_in(2).then(|| faults[rng.below(4) as usize]),
         _ => None,
     };
-    let jammed = (now / (3 * S)).is_multiple_of(3);
-    let elapsed = 20 * MS + rng.below(if jammed { 1_800 * MS } else { 200 * MS });
+    let congested = (now / (3 * S)).is_multiple_of(3);
+    let elapsed = 20 * MS + rng.below(if congested { 1_800 * MS } else { 200 * MS });
     Outcome { elapsed, note, closed: status == Status::Ok, ..outcome(id, attempt, member, status) }
 }
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,9 +1,9 @@
 //! Keeps the decision module readable: the file may be of any length, but functions and lines are limited.
 
 /// Maximum number of characters of a line.
-const LONGEST_LINE: usize = 110;
+const MAX_LINE_LENGTH: usize = 110;
 /// Maximum number of lines of a function, signature included.
-const LONGEST_FUNCTION: usize = 66;
+const MAX_FUNCTION_LINES: usize = 66;
 const MODULE: &str = include_str!("../src/choice.rs");
 
 /// Functions of the module with their number of lines.
@@ -27,12 +27,12 @@
 fn functions_of_the_module_are_short() {
     let functions = functions();
     assert!(functions.len() > 50, "{} functions found", functions.len());
-    let long: Vec<_> = functions.into_iter().filter(|(_, lines)| *lines > LONGEST_FUNCTION).collect();
+    let long: Vec<_> = functions.into_iter().filter(|(_, lines)| *lines > MAX_FUNCTION_LINES).collect();
     assert!(long.is_empty(), "{long:?}");
 }
 
 #[test]
 fn lines_of_the_module_fit_and_the_first_names_its_interface() {
-    assert!(MODULE.lines().all(|line| line.chars().count() <= LONGEST_LINE));
+    assert!(MODULE.lines().all(|line| line.chars().count() <= MAX_LINE_LENGTH));
     assert!(MODULE.lines().next().is_some_and(|line| line.contains("src/interface.rs")));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -296,13 +296,13 @@
 /// Guards against quarantining caches for invalid requests: such a request is given up after two errors, which count
 /// against no member. An error counts if another cache answers the request successfully.
 #[test]
-fn an_error_counts_only_where_another_member_answers_well() {
+fn an_error_counts_only_if_another_member_answers_successfully() {
     let answer = |w: &mut World, id: u128, faulty: Option<MemberId>| {
         let mut s = sent(&w.ask(id, &format!("o{id}")));
         let mut set_aside = false;
         for n in 0..3 {
-            let errs = faulty.is_none_or(|faulty| faulty == s.member);
-            let out = w.end(id, n, s.member, if errs { Status::Error } else { Status::Ok });
+            let fails = faulty.is_none_or(|faulty| faulty == s.member);
+            let out = w.end(id, n, s.member, if fails { Status::Error } else { Status::Ok });
             set_aside |= out.iter().any(|a| matches!(a, Action::Log(_)));
             match sends(&out)[..] {
                 [next] => s = next,
@@ -351,7 +351,7 @@
 /// Guards against hits that stay late because the cache's link is full (incidents i5782bb and i4eee0b).
 #[test]
 fn a_cache_whose_hits_come_late_gets_fewer_attempts() {
-    let held = |late: bool| {
+    let admitted = |late: bool| {
         let mut w = World::with(settings(), vec![member(1, CACHE), member(20, ORIGIN)]);
         for id in 0..100 {
             w.now += 100 * MS;
@@ -362,8 +362,8 @@
         }
         (1_000..1_100).filter(|id| !sends(&w.ask(*id, &format!("o{id}"))).is_empty()).count()
     };
-    let (jammed, calm) = (held(true), held(false));
-    assert!(jammed <= 4 && calm >= 25, "{jammed} {calm}");
+    let (congested, uncongested) = (admitted(true), admitted(false));
+    assert!(congested <= 4 && uncongested >= 25, "{congested} {uncongested}");
 }
 
 /// While all fills are late, caches must still answer from the copies they hold, and only a few misses may be filled
@@ -379,18 +379,18 @@
             w.handle(Event::Outcome(o));
         }
     }
-    let (mut fills, mut looks) = (0, Vec::new());
+    let (mut fills, mut lookups) = (0, Vec::new());
     for id in 1_000..1_020 {
         let s = sent(&w.ask(id, &format!("n{id}")));
-        if s.source == s.member { looks.push((id, s)) } else { fills += 1 }
+        if s.source == s.member { lookups.push((id, s)) } else { fills += 1 }
     }
-    assert!(fills <= 4 && looks.len() >= 16, "{fills}");
-    let (id, s) = looks[0];
+    assert!(fills <= 4 && lookups.len() >= 16, "{fills}");
+    let (id, s) = lookups[0];
     let hit = w.end(id, 0, s.member, Status::Ok);
     assert!(hit.is_empty());
-    let (id, s) = looks[1];
+    let (id, s) = lookups[1];
     assert!(refused(&w.end(id, 0, s.member, Status::Miss)), "no room for its fill");
-    let (id, s) = looks[2];
+    let (id, s) = lookups[2];
     let o = Outcome { note: Some(Note::Joined), ..outcome(id, 0, s.member, Status::Miss) };
     assert!(sent(&w.handle(Event::Outcome(o))).mode.join, "the running fill is joined");
 }
@@ -409,9 +409,9 @@
         }
     }
     let all: Vec<(u128, Sent)> = (1_000..1_010).map(|id| (id, sent(&w.ask(id, &format!("n{id}"))))).collect();
-    let held: Vec<&(u128, Sent)> = all.iter().filter(|(_, s)| s.mode.held_only).collect();
-    assert!(held.len() >= 6 && held.iter().all(|(_, s)| [11, 12].contains(&s.source.0)));
-    let (id, s) = *held[0];
+    let from_copies: Vec<&(u128, Sent)> = all.iter().filter(|(_, s)| s.mode.held_only).collect();
+    assert!(from_copies.len() >= 6 && from_copies.iter().all(|(_, s)| [11, 12].contains(&s.source.0)));
+    let (id, s) = *from_copies[0];
     assert!(refused(&w.end(id, 0, s.member, Status::Miss)), "no room for a fill by the origin");
 }
 
@@ -496,7 +496,7 @@
 /// Guards against blaming members for short client deadlines: a timeout before the aim is no fault.
 #[test]
 fn a_timeout_before_the_aim_quarantines_no_member() {
-    for (elapsed, aside) in [(50 * MS, false), (2 * S, true)] {
+    for (elapsed, quarantined) in [(50 * MS, false), (2 * S, true)] {
         let mut w = World::new(settings());
         let mut logged = false;
         for id in 0..100 {
@@ -508,7 +508,7 @@
                 w.handle(Event::ClientGone { id: RequestId(id) });
             }
         }
-        assert_eq!(logged, aside, "{elapsed}");
+        assert_eq!(logged, quarantined, "{elapsed}");
     }
 }
 
@@ -516,13 +516,13 @@
 /// while answers are late, and no timeout does while none are.
 #[test]
 fn a_timeout_counts_as_late_only_if_the_attempt_had_time() {
-    let fills = |jam: bool, elapsed| {
+    let fills = |congested: bool, elapsed| {
         let mut w = World::new(settings());
         let out: Vec<_> =
             (0..28).filter_map(|id| Some((id, *sends(&w.ask(id, &format!("o{id}"))).first()?))).collect();
         for (id, s) in out {
             let o = Outcome {
-                elapsed: if jam { 2 * S } else { 100 * MS },
+                elapsed: if congested { 2 * S } else { 100 * MS },
                 ..outcome(id, 0, s.member, Status::Ok)
             };
             w.handle(Event::Outcome(Outcome { note: Some(Note::Filled), ..o }));
@@ -536,9 +536,9 @@
         let open = (1000..1030).flat_map(|id| sends(&w.ask(id, &format!("o{id}"))));
         open.filter(|s| s.source != s.member && !s.mode.held_only).count()
     };
-    let [calm, short, long] =
-        [(false, 3 * S), (true, S), (true, 3 * S)].map(|(jam, elapsed)| fills(jam, elapsed));
-    assert!(calm >= 20 && short >= 8 && long < 4, "{calm} {short} {long}");
+    let [uncongested, short, long] =
+        [(false, 3 * S), (true, S), (true, 3 * S)].map(|(congested, elapsed)| fills(congested, elapsed));
+    assert!(uncongested >= 20 && short >= 8 && long < 4, "{uncongested} {short} {long}");
 }
 
 /// Guards against caches that become slower and slower (scenario visayas-shops-later big-1).
@@ -564,13 +564,13 @@
 #[test]
 fn a_parent_whose_fills_hang_is_avoided() {
     let mut w = World::new(settings());
-    let mut hung = 0;
+    let mut hanging = 0;
     for id in 0..300 {
         w.now += 100 * MS;
         let out = w.ask(id, &format!("o{id}"));
         let Some(s) = sends(&out).first().copied() else { continue };
         if s.source == MemberId(11) {
-            hung += 1;
+            hanging += 1;
             for action in &out {
                 if let Action::Timer { delay, token } = *action {
                     w.now += delay;
@@ -583,7 +583,7 @@
             w.handle(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Ok) }));
         }
     }
-    assert!(hung < 30, "{hung}");
+    assert!(hanging < 30, "{hanging}");
 }
 
 /// One fill from each of two hundred directors is too much for a slow origin (scenario mindanao-shops-later).
@@ -626,13 +626,13 @@
 fn a_quarantined_source_does_not_reduce_the_fills_from_others() {
     let mut w = World::new(settings());
     let all: Vec<(u128, Sent)> = (0..28).map(|id| (id, sent(&w.ask(id, &format!("o{id}"))))).collect();
-    let (hung, well): (Vec<_>, Vec<_>) = all.into_iter().partition(|(_, s)| s.source == MemberId(11));
-    for (id, s) in well {
+    let (hanging, healthy): (Vec<_>, Vec<_>) = all.into_iter().partition(|(_, s)| s.source == MemberId(11));
+    for (id, s) in healthy {
         let note = Some(Note::Filled);
         w.handle(Event::Outcome(Outcome { note, ..outcome(id, 0, s.member, Status::Ok) }));
     }
-    assert!(hung.len() > 8);
-    for (id, s) in hung {
+    assert!(hanging.len() > 8);
+    for (id, s) in hanging {
         w.now += 310 * MS;
         let o = Outcome { elapsed: 2_900 * MS, closed: true, ..outcome(id, 0, s.member, Status::Reset) };
         let note = Some(Note::SourceUnreachable);
@@ -791,7 +791,7 @@
 #[test]
 fn stale_copies_are_accepted_while_fills_are_late() {
     let terms = Class { fresh_for: 5 * S, stale_for: 30 * S, stale_worth: 0.7, ..class() };
-    let asked = |late: bool| {
+    let send_both = |late: bool| {
         let mut w = World::new(Settings { classes: vec![terms.clone()], ..settings() });
         for id in 0..60 {
             w.now += 50 * MS;
@@ -809,9 +809,11 @@
         w.handle(Event::Purged { object: Some("purged".to_owned()), group: 9, age: 2 * S });
         (sent(&w.ask(1_000, "n")), sent(&w.ask(1_001, "purged")))
     };
-    let (calm, purged) = asked(false);
-    assert!(calm.max_age.is_none() && !calm.mode.renew && purged.max_age.is_some_and(|age| age < 3 * S));
-    let (slow, purged) = asked(true);
+    let (in_time, purged) = send_both(false);
+    assert!(
+        in_time.max_age.is_none() && !in_time.mode.renew && purged.max_age.is_some_and(|age| age < 3 * S)
+    );
+    let (slow, purged) = send_both(true);
     assert!(slow.max_age == Some(35 * S) && slow.mode.renew, "{slow:?}");
     assert!(purged.max_age.is_some_and(|age| age < 3 * S), "a purge takes precedence: {purged:?}");
 }
