--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -179,7 +179,7 @@
                 let _ = port.close.try_send(());
             } else if port.is_waiting() && drain.must_answer_now(now, seen) {
                 // If the director's mailbox is full, the next sweep sends the message.
-                let _ = self.director.try_send(Message::GiveUp { port: port.id });
+                let _ = self.director.try_send(Message::GiveUp { client: port.id });
             } else if seen.unwritten > 0 && drain.must_cut_off(now, port.takes_nothing_since()) {
                 let _ = port.cut.try_send(CloseReason::Stalled);
             }
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -11,7 +11,8 @@
 use silverspindle::drain::Drain;
 use silverspindle::front::Front;
 use silverspindle::traffic::{
-    Attempt, Board, Call, Descriptors, Message, Port, Shared, Taken, Terms, Verdict,
+    Attempt, BodyReservation, Call, ClientHandle, Descriptors, FetchOptions, Message, RoutingState, Shared,
+    Verdict,
 };
 use silverspindle::upstream::{Order, Peer};
 
@@ -26,7 +27,7 @@
     pub gone: Cell<bool>,
 }
 
-impl Port for WaitingClient {
+impl ClientHandle for WaitingClient {
     fn id(&self) -> u64 {
         0
     }
@@ -54,10 +55,10 @@
     pub fn with(tasks: &Tasks, descriptors: usize, options: &serde_json::Value) -> Self {
         let (director, messages) = async_channel::bounded(1024);
         let site = Rc::new(SiteSettings::parse(options.as_object().unwrap()));
-        let board = Rc::new(Board::default());
-        [PEER, SOURCE].into_iter().for_each(|id| board.set_ready(id, true));
+        let state = Rc::new(RoutingState::default());
+        [PEER, SOURCE].into_iter().for_each(|id| state.set_ready(id, true));
         let descriptors = Descriptors::new(descriptors);
-        let shared = Rc::new(Shared { site, board, descriptors, director, tasks: tasks.clone() });
+        let shared = Rc::new(Shared { site, state, descriptors, director, tasks: tasks.clone() });
         Self { shared, messages, cache: Cache::start(tasks), client: Rc::default() }
     }
 
@@ -73,32 +74,32 @@
             part: 3,
             group: 17,
             size_kb: None,
-            token: None,
-            cached: None,
+            idempotency_key: None,
+            client_tag: None,
             deadline: clock::now() + 60_000_000,
             body: Bytes::new(),
-            taken: Taken::default(),
-            over: Cell::new(false),
-            lines: RefCell::default(),
+            body_reservation: BodyReservation::default(),
+            finished: Cell::new(false),
+            used_connections: RefCell::default(),
         };
         Rc::new(Attempt {
             ticket,
             client: self.client.clone(),
             write_by: call.deadline,
-            line: Cell::new(0),
-            until: call.deadline,
+            connection: Cell::new(0),
+            deadline: call.deadline,
             call: Rc::new(call),
-            terms: Terms {
+            options: FetchOptions {
                 source: Some(SOURCE),
                 keep: Keep::Middle,
                 max_age: Some(900),
                 mode: FillMode { join: true, held_only: true, parent_pass: true, renew: true },
             },
-            decided: self.shared.board.moment(),
+            purge_seq: self.shared.state.purge_seq(),
             written: Cell::new(false),
-            dropped: Cell::new(false),
-            first: true,
-            bare: Cell::new(false),
+            abandoned: Cell::new(false),
+            is_first: true,
+            without_source: Cell::new(false),
             tokens: Cell::new(0),
         })
     }
@@ -123,11 +124,11 @@
     }
 
     /// The next request that the front passes on.
-    pub async fn request(&self) -> (Rc<dyn Port>, i32, Call) {
+    pub async fn request(&self) -> (Rc<dyn ClientHandle>, i32, Call) {
         loop {
             match self.messages.recv().await.unwrap() {
-                Message::Request { port, seq, call } => return (port, seq, call),
-                Message::Left { .. } => {}
+                Message::Request { client, seq, call } => return (client, seq, call),
+                Message::Disconnected { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
