--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -23,7 +23,7 @@
 use crate::director::{self, Director, PendingAnswers};
 use crate::distribution;
 use crate::drain::{self, Drain};
-use crate::front::{Front, LISTEN_BACKLOG, most_clients};
+use crate::front::{Front, LISTEN_BACKLOG, max_client_connections};
 use crate::knowledge::exchange::{self, Hub};
 use crate::knowledge::{Knowledge, keys::Tls, snapshots};
 use crate::links::Connector;
@@ -106,7 +106,7 @@
             + relay_descriptors
             + management_descriptors;
         let peer_descriptors =
-            config.sockets.saturating_sub(most_clients(config.sockets) + other_descriptors);
+            config.sockets.saturating_sub(max_client_connections(config.sockets) + other_descriptors);
         if conf.relay.is_some() && peer_descriptors < MIN_PEER_DESCRIPTORS {
             let problem = format!(
                 "limits.sockets: {} leaves {peer_descriptors} file descriptors for caches, too few; relay-children uses {relay_descriptors}",
@@ -183,8 +183,8 @@
                 settings: site.settings.clone(),
                 classes: site.classes.clone(),
                 drain: drain.clone(),
-                nudge: front.nudger(),
-                owes: Rc::new(move || pending_answers.get() > 0 || !own_front.flushed()),
+                nudge: front.drain_notifier(),
+                owes: Rc::new(move || pending_answers.get() > 0 || !own_front.all_answers_written()),
             };
             if terms.work.is_some() {
                 state.enable_orders();
@@ -259,11 +259,11 @@
             tasks.spawn(share_limits(process_file, limits, limited)).detach();
         }
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
-        tasks.spawn(front.clone().sweep()).detach();
+        tasks.spawn(front.clone().run_drain_sweep()).detach();
         if let Some(listener) = management {
             tracing::info!("management on {}", listener.get_ref().local_addr()?);
             tasks
-                .spawn(Management::new(drain.clone(), front.nudger()).listen(listener, tasks.clone()))
+                .spawn(Management::new(drain.clone(), front.drain_notifier()).listen(listener, tasks.clone()))
                 .detach();
         }
         drain.borrow_mut().started();
@@ -286,7 +286,7 @@
 
     /// Number of client connections currently open.
     pub fn client_connections(&self) -> usize {
-        self.front.held().0
+        self.front.connection_counts().0
     }
 
     /// Applies both configurations after a reload. Of the platform's configuration only the coordinator's
@@ -325,7 +325,7 @@
     /// request has its answer.
     pub async fn shut_down(&self) {
         self.drain.borrow_mut().end(clock::now());
-        let _ = self.front.nudger().try_send(());
+        let _ = self.front.drain_notifier().try_send(());
         if self.process_file.as_ref().is_some_and(|process_file| process_file.has_successor()) {
             tracing::info!("a younger process serves on {}: it takes the new connections", self.address);
             self.front.stop_accepting();
@@ -334,13 +334,17 @@
         // The listener is closed once no new clients are expected; connections in its queue are accepted,
         // read and answered first.
         let accept_until = self.drain.borrow().since().unwrap_or(0).saturating_add(drain::ARRIVAL_WINDOW);
-        while !self.drain.borrow().may_exit(clock::now(), self.pending_answers.get(), self.front.settled()) {
+        while !self.drain.borrow().may_exit(
+            clock::now(),
+            self.pending_answers.get(),
+            self.front.is_finished(),
+        ) {
             if clock::now() >= accept_until {
                 self.front.stop_accepting();
             }
             if clock::now() >= last_log + SHUTDOWN_LOG_INTERVAL {
                 last_log = clock::now();
-                let (connections, open) = self.front.held();
+                let (connections, open) = self.front.connection_counts();
                 tracing::info!(
                     "ending: {} owed, {connections} clients' connections with {open} open",
                     self.pending_answers.get()
@@ -383,7 +387,7 @@
         // The reduction therefore applies to the peers' descriptors.
         descriptors
             .set_limit(all_descriptors.saturating_sub(sockets - sockets_left).max(all_descriptors / 4));
-        front.keep_to(memory_left);
+        front.set_memory_limit(memory_left);
         let _ = director
             .try_send(Message::CopyMemory((memory_left / COPIES_MEMORY_DIVISOR).min(MAX_COPIES_BYTES)));
     };
