--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -32,7 +32,7 @@
     Attempt, AttemptHistory, Call, ClientHandle, FetchOptions, Message, Notification, Refusal, SafeToRetry,
     Shared, Verdict,
 };
-use crate::upstream::{Order, Peer};
+use crate::upstream::{Peer, PeerMessage};
 use crate::withheld::Withheld;
 
 /// Capacity of the director's mailbox, in messages.
@@ -65,7 +65,7 @@
     member: MemberId,
     /// Mailbox of the peer actor that holds the attempt. By the time the attempt is given up, another actor
     /// may serve the member's id.
-    peer: Sender<Order>,
+    peer: Sender<PeerMessage>,
     sent_at: Micros,
     attempt: Rc<Attempt>,
 }
@@ -94,7 +94,7 @@
     settings: Settings,
     shared: Rc<Shared>,
     pending_answers: Rc<PendingAnswers>,
-    peers: HashMap<MemberId, Sender<Order>>,
+    peers: HashMap<MemberId, Sender<PeerMessage>>,
     requests: HashMap<RequestId, OpenRequest>,
     /// Open requests by client connection and sequence number.
     by_client: BTreeMap<(u64, i32), RequestId>,
@@ -119,7 +119,7 @@
 }
 
 /// Starts the actor of the member at this address and returns its mailbox.
-type StartPeer = Box<dyn Fn(MemberId, SocketAddr) -> Sender<Order>>;
+type StartPeer = Box<dyn Fn(MemberId, SocketAddr) -> Sender<PeerMessage>>;
 
 impl Director {
     /// Creates a director whose module uses this random seed.
@@ -161,7 +161,7 @@
     }
 
     /// Replaces the function that starts members' actors. The default is [`Peer::start`].
-    pub fn start_peers_by(&mut self, start: impl Fn(MemberId, SocketAddr) -> Sender<Order> + 'static) {
+    pub fn start_peers_by(&mut self, start: impl Fn(MemberId, SocketAddr) -> Sender<PeerMessage> + 'static) {
         self.start_peer = Box::new(start);
     }
 
@@ -171,7 +171,7 @@
 
     /// Merges items received from another router. Purges and drains take effect at once; the rest becomes
     /// priors of the module.
-    pub fn learn(&mut self, transit: Micros, items: Vec<Item>) {
+    pub fn import_knowledge(&mut self, transit: Micros, items: Vec<Item>) {
         let Some(learnt) = self.knowledge.as_mut().map(|k| k.take(transit, items)) else { return };
         if learnt.refused > 0 {
             tracing::warn!("{} items from another router are out of range and were dropped", learnt.refused);
@@ -210,7 +210,7 @@
 
     /// Runs until both mailboxes are closed. Feed updates are handled before everything else that is pending:
     /// a purge or a drain must not queue behind requests that would otherwise be sent without regard to it.
-    pub async fn run(mut self, news: Receiver<Notification>, mailbox: Receiver<Message>) {
+    pub async fn run(mut self, notifications: Receiver<Notification>, mailbox: Receiver<Message>) {
         loop {
             let next_due = self.next_timer();
             let timer = async {
@@ -220,34 +220,34 @@
                 };
                 Some(NextInput::TimersDue)
             };
-            let update = async { news.recv().await.ok().map(NextInput::Notification) };
+            let notification = async { notifications.recv().await.ok().map(NextInput::Notification) };
             let message =
                 async { mailbox.recv().await.ok().map(|message| NextInput::Message(Box::new(message))) };
-            match future::or(update, future::or(message, timer)).await {
-                Some(NextInput::Notification(update)) => self.notice(update),
-                Some(NextInput::Message(message)) => self.message(*message),
+            match future::or(notification, future::or(message, timer)).await {
+                Some(NextInput::Notification(notification)) => self.handle_notification(notification),
+                Some(NextInput::Message(message)) => self.handle_message(*message),
                 Some(NextInput::TimersDue) => {}
                 None => return,
             }
             let mut remaining = MAX_MESSAGE_BATCH;
             loop {
-                if let Ok(update) = news.try_recv() {
-                    self.notice(update);
+                if let Ok(notification) = notifications.try_recv() {
+                    self.handle_notification(notification);
                 } else if let Some(message) = (remaining > 0).then(|| mailbox.try_recv().ok()).flatten() {
                     remaining -= 1;
-                    self.message(message);
+                    self.handle_message(message);
                 } else {
                     break;
                 }
             }
-            self.timers();
+            self.run_due_timers();
         }
     }
 
     /// Handles an event of the coordinator. `whole` is the kind under which a complete list is passed to the
     /// module: read back from disk at the start, or received.
-    pub fn news(&mut self, news: Update, whole: ListKind) {
-        match news {
+    pub fn handle_update(&mut self, update: Update, whole: ListKind) {
+        match update {
             Update::UpToDate => {
                 self.knowledge.iter_mut().for_each(Knowledge::heard);
                 self.apply_router_reports();
@@ -283,7 +283,7 @@
     fn apply_purge(&mut self, what: PurgeTarget, at: Stamp) {
         let now = self.now();
         let retention = self.settings.purge_complete_within + self.settings.purge_grace;
-        self.shared.state.purged(now, what, retention);
+        self.shared.state.record_purge(now, what, retention);
         self.copies.purge(now, what, at);
         self.release_purged_copies(what, at);
         let (object, group) = match what {
@@ -297,7 +297,7 @@
     fn retire_member(&mut self, id: MemberId) {
         self.shared.state.set_ready(id, false);
         if let Some(peer) = self.peers.remove(&id) {
-            self.send_to_peer(&peer, Order::Retire);
+            self.send_to_peer(&peer, PeerMessage::Retire);
         }
     }
 
@@ -311,14 +311,14 @@
         match self.peers.get(&id).cloned() {
             Some(peer) => {
                 self.last_number += 1;
-                self.send_to_peer(&peer, Order::Address(m.address, self.last_number));
+                self.send_to_peer(&peer, PeerMessage::Address(m.address, self.last_number));
             }
             None => drop(self.peers.insert(id, (self.start_peer)(id, m.address))),
         }
     }
 
     /// Sends an order that must not be lost, even if the mailbox is full.
-    fn send_to_peer(&self, peer: &Sender<Order>, order: Order) {
+    fn send_to_peer(&self, peer: &Sender<PeerMessage>, order: PeerMessage) {
         if let Err(async_channel::TrySendError::Full(order)) = peer.try_send(order) {
             let peer = peer.clone();
             self.shared.tasks.spawn(async move { drop(peer.send(order).await) }).detach();
@@ -326,7 +326,7 @@
     }
 
     /// Handles a message.
-    pub fn message(&mut self, message: Message) {
+    pub fn handle_message(&mut self, message: Message) {
         match message {
             Message::Request { client, seq, call } => self.handle_request(client, seq, call),
             Message::Forget { client, seq } => {
@@ -346,7 +346,7 @@
                 let items = self.knowledge.as_mut().map_or_else(Vec::new, |k| k.give(report));
                 let _ = reply.try_send(items);
             }
-            Message::ImportKnowledge { transit, items } => self.learn(transit, items),
+            Message::ImportKnowledge { transit, items } => self.import_knowledge(transit, items),
             Message::HalfLives(half_lives) => {
                 self.knowledge.iter_mut().for_each(|k| k.reload(half_lives));
             }
@@ -441,7 +441,7 @@
     }
 
     /// Runs the timers that are due.
-    pub fn timers(&mut self) {
+    pub fn run_due_timers(&mut self) {
         let now = self.now();
         while let Some(entry) = self.due_timers.first_entry().filter(|e| e.key().0 <= now) {
             match entry.remove() {
@@ -504,7 +504,7 @@
             Action::Fail { id } => self.answer(id, Verdict::Failed),
             Action::Timer { delay, token } => self.set_timer(self.now() + delay, TimerKind::Module(token)),
             Action::Probe { member } => {
-                let sent = self.peers.get(&member).is_some_and(|p| p.try_send(Order::Probe).is_ok());
+                let sent = self.peers.get(&member).is_some_and(|p| p.try_send(PeerMessage::Probe).is_ok());
                 if !sent {
                     let (status, elapsed, load) = (Status::ConnectFailed, 0, None);
                     self.backlog.push_back(Event::Probed { member, status, elapsed, load });
--- a/silverspindle/src/director/attempts.rs
+++ b/silverspindle/src/director/attempts.rs
@@ -8,7 +8,7 @@
 use super::{Director, InFlight, TimerKind, format_member};
 use crate::invariant;
 use crate::traffic::{Attempt, AttemptEnd, Call, FetchOptions, Verdict};
-use crate::upstream::Order;
+use crate::upstream::PeerMessage;
 
 /// An attempt at a cold member must be written within this part (the divisor) of the time for which an
 /// overload tips such a member over; otherwise the module decides again. Attempts that waited for a
@@ -82,7 +82,7 @@
         in_flight.attempt.abandoned.set(true);
         self.send_to_peer(
             &in_flight.peer,
-            Order::GiveUp(in_flight.attempt.clone(), status == Status::Timeout),
+            PeerMessage::Abandon(in_flight.attempt.clone(), status == Status::Timeout),
         );
         self.attempt_ended(AttemptEnd::without_details(ticket, status));
     }
@@ -144,7 +144,7 @@
         // As in the simulator, an attempt that may not or can't be sent any more ends as never sent.
         let may_send = !open.closed && deadline > now && (max_attempts == 0 || number < max_attempts);
         self.shared.state.attempt_started(&attempt, member);
-        let peer = peer.filter(|p| may_send && p.try_send(Order::Send(attempt.clone())).is_ok());
+        let peer = peer.filter(|p| may_send && p.try_send(PeerMessage::Send(attempt.clone())).is_ok());
         let Some(peer) = peer else {
             self.shared.state.attempt_ended(&attempt, false, None);
             open.history.record_unsent(now, member);
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -6,7 +6,7 @@
 use super::Director;
 use crate::clock::Stamp;
 use crate::feed::PurgeTarget;
-use crate::steady::steady;
+use crate::steady::steady_now;
 use crate::traffic::Notification;
 
 /// Interval in which the module is told the maximum copy age while the feed's lease has run out, in
@@ -15,9 +15,9 @@
 
 impl Director {
     /// Handles an update of the list or of the purges.
-    pub fn notice(&mut self, notice: Notification) {
-        match notice {
-            Notification::Update(news) => self.news(news, ListKind::Full),
+    pub fn handle_notification(&mut self, notification: Notification) {
+        match notification {
+            Notification::Update(update) => self.handle_update(update, ListKind::Full),
             Notification::PurgedBefore(at) => {
                 let what = PurgeTarget::Group(ALL_GROUPS);
                 self.knowledge.iter_mut().for_each(|k| k.purged(what, at));
@@ -42,7 +42,7 @@
             self.stale_reported_at = None;
             return;
         };
-        let now = steady();
+        let now = steady_now();
         if self.stale_reported_at.is_none_or(|reported_at| now >= reported_at + STALE_REPORT_INTERVAL) {
             self.stale_reported_at = Some(now);
             let age = max_age.saturating_sub(STALE_REPORT_INTERVAL);
--- a/silverspindle/src/distribution/lease.rs
+++ b/silverspindle/src/distribution/lease.rs
@@ -6,7 +6,7 @@
 use silverspindle_relay::{FeedGuard, Mode};
 
 use super::records::Records;
-use crate::steady::steady;
+use crate::steady::steady_now;
 use crate::traffic::{Attempt, FeedFreshness, FeedLease};
 
 /// The feed, shared between the board and the actor.
@@ -35,7 +35,7 @@
 
     /// Says by which reading the router acts, where that has changed.
     pub fn say_mode(&self) {
-        let feed = self.guard.read(steady());
+        let feed = self.guard.read(steady_now());
         self.say(feed.mode, feed.age);
     }
 
@@ -71,7 +71,7 @@
 
 impl FeedLease for Feed {
     fn freshness(&self) -> FeedFreshness {
-        let at = steady();
+        let at = steady_now();
         let feed = self.guard.read(at);
         FeedFreshness { at, age: feed.age, max_copy_age: feed.max_copy_age }
     }
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -12,7 +12,7 @@
 use super::Attempt;
 use crate::clock::{Clock, Stamp};
 use crate::feed::{PurgeTarget, Update};
-use crate::steady::steady;
+use crate::steady::steady_now;
 
 /// A member as the coordinator lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,8 +90,8 @@
 }
 
 impl From<Update> for Notification {
-    fn from(news: Update) -> Self {
-        Self::Update(news)
+    fn from(update: Update) -> Self {
+        Self::Update(update)
     }
 }
 
@@ -206,7 +206,7 @@
             let members = members.map(|id| id.0 as u32).collect();
             // On the steady clock: setting the Unix clock must not end the time in which an attempt may be
             // open.
-            let (now, remaining) = (steady(), attempt.deadline.saturating_sub(self.clock.now()));
+            let (now, remaining) = (steady_now(), attempt.deadline.saturating_sub(self.clock.now()));
             ledger.begin(now, attempt.ticket, members, now + remaining);
         }
     }
@@ -219,7 +219,7 @@
         }
         if let Some(ledger) = &mut *self.ledger.borrow_mut() {
             let all_over = !attempt.written.get() || (answered && !attempt.options.mode.renew);
-            ledger.end(steady(), attempt.ticket, all_over);
+            ledger.end(steady_now(), attempt.ticket, all_over);
         }
     }
 
@@ -276,7 +276,7 @@
 
     /// Records a purge. Purges received longer than `keep` ago are forgotten, because no pending attempt is
     /// older.
-    pub fn purged(&self, now: Micros, what: PurgeTarget, retention: Micros) {
+    pub fn record_purge(&self, now: Micros, what: PurgeTarget, retention: Micros) {
         self.purge_count.set(self.purge_count.get() + 1);
         let mut purges = self.purges.borrow_mut();
         purges.retain(|_, (_, at)| now.saturating_sub(*at) <= retention);
--- a/silverspindle/tests/common/orders.rs
+++ b/silverspindle/tests/common/orders.rs
@@ -22,7 +22,7 @@
     Attempt, AttemptEnd, BodyReservation, Call, ClientHandle, Descriptors, FeedFreshness, FeedLease, Message,
     Notification, RoutingState, Shared, Verdict,
 };
-use silverspindle::upstream::Order;
+use silverspindle::upstream::PeerMessage;
 
 pub const MS: Micros = 1000;
 pub const S: Micros = 1_000_000;
@@ -206,7 +206,7 @@
     fn attempt_written(&self, _: &Attempt, _: FeedFreshness) {}
 }
 
-type Mailboxes = Rc<RefCell<BTreeMap<MemberId, Receiver<Order>>>>;
+type Mailboxes = Rc<RefCell<BTreeMap<MemberId, Receiver<PeerMessage>>>>;
 
 /// The request, the simulated environment and what was observed of both.
 pub struct Simulation {
@@ -280,13 +280,15 @@
             violation: None,
         };
         let list = simulation.members.values().cloned().map(listed).collect();
-        simulation.director.news(Update::Members { complete: true, members: list }, ListKind::Cached);
+        simulation
+            .director
+            .handle_update(Update::Members { complete: true, members: list }, ListKind::Cached);
         if case.own_copy {
             simulation.fill_own_copy();
         }
         simulation.received_at = simulation.now();
         let client: Rc<dyn ClientHandle> = simulation.client.clone();
-        simulation.director.message(Message::Request { client, seq: 1, call: simulation.call(0xb) });
+        simulation.director.handle_message(Message::Request { client, seq: 1, call: simulation.call(0xb) });
         simulation.process_output();
         simulation
     }
@@ -294,15 +296,19 @@
     /// Runs an earlier request whose answer the router keeps as its own copy.
     fn fill_own_copy(&mut self) {
         let earlier_client = Rc::new(Client { id: 1, ..Client::default() });
-        self.director.message(Message::Request { client: earlier_client, seq: 1, call: self.call(0xa) });
+        self.director.handle_message(Message::Request {
+            client: earlier_client,
+            seq: 1,
+            call: self.call(0xa),
+        });
         self.process_output();
         self.copy_stamp = self.now();
         self.sent[0].attempt.written.set(true);
         let end = AttemptEnd { body: Some(Bytes::from_static(OWN_BODY)), ..self.end(0, Status::Ok) };
-        self.director.message(Message::Ended(end));
+        self.director.handle_message(Message::Ended(end));
         self.sent.clear();
         self.time.set(self.now() + COPY_AGE);
-        self.director.timers();
+        self.director.run_due_timers();
     }
 
     fn call(&self, rid: u64) -> Call {
@@ -396,14 +402,14 @@
             Step::End(index, ending) => self.end_attempt(index, ending),
             Step::Forget => {
                 self.closed = true;
-                self.director.message(Message::Forget { client, seq: 1 });
+                self.director.handle_message(Message::Forget { client, seq: 1 });
             }
             Step::Disconnect => {
                 self.closed = true;
                 self.client.gone.set(true);
-                self.director.message(Message::Disconnected { client });
+                self.director.handle_message(Message::Disconnected { client });
             }
-            Step::GiveUp => self.director.message(Message::GiveUp { client }),
+            Step::GiveUp => self.director.handle_message(Message::GiveUp { client }),
             Step::Drain => self.list(first, |m| m.lifecycle = Lifecycle::Draining),
             Step::Remove => self.list(first, |m| m.lifecycle = Lifecycle::Gone),
             Step::Relist => self.list(first, |m| (m.lifecycle, m.cell) = (Lifecycle::Ready, m.cell + 10)),
@@ -411,7 +417,7 @@
             Step::PurgeGroup => self.purge(PurgeTarget::Group(GROUP), 0),
             Step::LatePurge => self.purge(PurgeTarget::Object(OBJECT), COPY_AGE + 500 * MS),
             Step::LeaseExpired => self.feed.0.set(true),
-            Step::CopyEvicted => self.director.message(Message::CopyMemory(0)),
+            Step::CopyEvicted => self.director.handle_message(Message::CopyMemory(0)),
             Step::CopyAged => self.advance_to(self.received_at + COPY_TIME_LEFT + MS),
             Step::WindowExpired => self.advance_to(self.received_at + WINDOW + WINDOW_TOLERANCE + MS),
             Step::NextTimer => {
@@ -425,11 +431,11 @@
     fn advance_to(&mut self, time: Micros) {
         while let Some(due) = self.director.next_timer().filter(|due| *due <= time) {
             self.time.set(due.max(self.now()));
-            self.director.timers();
+            self.director.run_due_timers();
             self.process_output();
         }
         self.time.set(time.max(self.now()));
-        self.director.timers();
+        self.director.run_due_timers();
     }
 
     fn list(&mut self, id: Option<MemberId>, change: impl Fn(&mut Member)) {
@@ -441,13 +447,14 @@
             _ => drop(self.not_ready_since.entry(id).or_insert(self.time.get())),
         }
         let members = vec![listed(member.clone())];
-        self.director.notice(Notification::Update(Update::Members { complete: false, members }));
+        self.director.handle_notification(Notification::Update(Update::Members { complete: false, members }));
     }
 
     fn purge(&mut self, what: PurgeTarget, age: Micros) {
         let at = self.now() - age;
         self.purges.push((self.now(), at));
-        self.director.notice(Notification::Update(Update::Purged { what, at: Stamp::from_micros(at) }));
+        self.director
+            .handle_notification(Notification::Update(Update::Purged { what, at: Stamp::from_micros(at) }));
     }
 
     fn write(&mut self, index: usize) {
@@ -511,7 +518,7 @@
         if ending == Ending::Served {
             end.body = Some(Bytes::from_static(CACHE_BODY));
         }
-        self.director.message(Message::Ended(end));
+        self.director.handle_message(Message::Ended(end));
     }
 
     /// Processes the orders and answers that the director has given.
@@ -519,14 +526,14 @@
         for (member, mailbox) in &*self.mailboxes.borrow() {
             while let Ok(order) = mailbox.try_recv() {
                 match order {
-                    Order::Send(attempt) => {
+                    PeerMessage::Send(attempt) => {
                         let cell = self.members.get(member).map_or(0, |m| m.cell);
                         let (written, ended, given_up) = (None, None, false);
                         let sent = Sent { attempt, member: *member, cell, written, ended, given_up };
                         self.trace.push(format!("  attempt {} at member {}", self.sent.len(), member.0));
                         self.sent.push(sent);
                     }
-                    Order::GiveUp(attempt, _) => {
+                    PeerMessage::Abandon(attempt, _) => {
                         let is_this = |s: &&mut Sent| s.attempt.ticket == attempt.ticket;
                         self.sent.iter_mut().filter(is_this).for_each(|s| s.given_up = true);
                     }
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -14,7 +14,7 @@
     Attempt, BodyReservation, Call, ClientHandle, Descriptors, FetchOptions, Message, RoutingState, Shared,
     Verdict,
 };
-use silverspindle::upstream::{Order, Peer};
+use silverspindle::upstream::{Peer, PeerMessage};
 
 use super::*;
 
@@ -62,7 +62,7 @@
         Self { shared, messages, cache: Cache::start(tasks), client: Rc::default() }
     }
 
-    pub fn peer(&self) -> async_channel::Sender<Order> {
+    pub fn peer(&self) -> async_channel::Sender<PeerMessage> {
         Peer::start(PEER, self.cache.address, &self.shared)
     }
 
