--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -38,31 +38,31 @@
 /// further ones are refused.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 /// A connection used within this time, in microseconds, is not closed to make room, as a request may be on its way.
-const IN_USE: Micros = 50_000;
+const RECENT_USE: Micros = 50_000;
 /// Delay before the next accept while no connection is free, or after a failed accept (without a descriptor, for
 /// example).
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Backlog of the listener: connections that may wait to be accepted. The kernel admits one more.
 pub const LISTEN_BACKLOG: usize = 1024;
 /// Maximum number of queued connections accepted after the order to stop: twice the queue's length.
-const MOST_QUEUED: usize = 2 * LISTEN_BACKLOG;
+const MAX_QUEUED: usize = 2 * LISTEN_BACKLOG;
 /// Number of failed accepts in a row after which a front that was told to stop closes the listener anyway: one second
-/// at a delay of [`ACCEPT_AGAIN`] each.
-const MOST_FAILED: usize = 50;
+/// at a delay of [`ACCEPT_RETRY_DELAY`] each.
+const MAX_FAILED_ACCEPTS: usize = 50;
 /// Maximum number of connections that wait for their client's close, while others wait to be accepted.
-const MOST_CLOSING: usize = 8;
+const MAX_CLOSING: usize = 8;
 /// Capacity of a connection's answer queue: one answer for each open request, and as many that were ready while an
 /// earlier answer was still being written.
-const MOST_ANSWERS: usize = 2 * MAX_OPEN_REQUESTS;
+const MAX_QUEUED_ANSWERS: usize = 2 * MAX_OPEN_REQUESTS;
 /// Retry delay, in milliseconds, advised to a client that is refused before the module sees its request, where the
 /// settings enable this advice.
-const STAY_AWAY: u64 = 200;
+const REFUSAL_BACKOFF_MS: u64 = 200;
 /// Interval at which every connection is checked during a drain.
-const SWEEP: Duration = Duration::from_millis(25);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(25);
 /// Ids per generation of the filter that detects repeated request ids: an id may be used once.
-const RIDS: usize = 8192;
+const REQUEST_IDS: usize = 8192;
 /// Time without a new request id, in microseconds, after which the filter changes generations.
-const RIDS_QUIET: Micros = 30_000_000;
+const REQUEST_IDS_IDLE: Micros = 30_000_000;
 
 /// Maximum number of clients' connections for this number of descriptors: a third of them, and a few for connections
 /// that are just opening or closing.
@@ -79,32 +79,32 @@
     drain: Rc<RefCell<Drain>>,
     counters: Rc<Counters>,
     /// Number of answers not yet written.
-    unflushed: Cell<usize>,
+    unwritten_answers: Cell<usize>,
     /// Bytes of the bodies in these answers.
-    held: Cell<usize>,
-    /// Limit of `held`.
-    most_held: Cell<usize>,
+    unwritten_bytes: Cell<usize>,
+    /// Limit of `unwritten_bytes`.
+    max_unwritten_bytes: Cell<usize>,
     /// Bytes of bodies of open write requests.
-    taken: Rc<Cell<usize>>,
-    /// Limit of `taken`.
-    most_taken: Cell<usize>,
-    most_connections: usize,
+    write_bytes: Rc<Cell<usize>>,
+    /// Limit of `write_bytes`.
+    max_write_bytes: Cell<usize>,
+    max_connections: usize,
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
     /// Ids of recent requests.
-    rids: RefCell<AgeingFilter>,
+    recent_ids: RefCell<AgeingFilter>,
     /// Connections that this side has closed and that are read to their end.
     closing: ClosingConnections,
     /// Id of the connection that is to close to make room.
-    wanted: Cell<Option<u64>>,
+    to_evict: Cell<Option<u64>>,
     /// The listener is open.
     accepting: Cell<bool>,
     /// Signals that a connection ended.
-    freed: (Sender<()>, Receiver<()>),
+    connection_ended: (Sender<()>, Receiver<()>),
     /// Signals that no more connections are to be accepted, as a successor accepts them.
     stop: (Sender<()>, Receiver<()>),
     /// Signals that the drain state may have changed; the sweep waits for it while the router serves.
-    nudged: (Sender<()>, Receiver<()>),
-    next: Cell<u64>,
+    drain_changed: (Sender<()>, Receiver<()>),
+    next_id: Cell<u64>,
 }
 
 impl Front {
@@ -122,21 +122,21 @@
             director,
             drain,
             counters: Rc::default(),
-            unflushed: Cell::new(0),
-            held: Cell::new(0),
-            most_held: Cell::new(memory / 3),
-            taken: Rc::default(),
-            most_taken: Cell::new(memory / 8),
-            most_connections: max_client_connections(sockets),
+            unwritten_answers: Cell::new(0),
+            unwritten_bytes: Cell::new(0),
+            max_unwritten_bytes: Cell::new(memory / 3),
+            write_bytes: Rc::default(),
+            max_write_bytes: Cell::new(memory / 8),
+            max_connections: max_client_connections(sockets),
             connections: RefCell::default(),
-            rids: RefCell::new(AgeingFilter::new(RIDS, RIDS_QUIET)),
+            recent_ids: RefCell::new(AgeingFilter::new(REQUEST_IDS, REQUEST_IDS_IDLE)),
             closing: ClosingConnections::default(),
-            wanted: Cell::new(None),
+            to_evict: Cell::new(None),
             accepting: Cell::new(true),
-            freed: async_channel::bounded(1),
+            connection_ended: async_channel::bounded(1),
             stop: async_channel::bounded(1),
-            nudged: async_channel::bounded(1),
-            next: Cell::new(0),
+            drain_changed: async_channel::bounded(1),
+            next_id: Cell::new(0),
         })
     }
 
@@ -147,7 +147,7 @@
 
     /// Sender that wakes the sweep; to be used after every change of the drain state.
     pub fn drain_notifier(&self) -> Sender<()> {
-        self.nudged.0.clone()
+        self.drain_changed.0.clone()
     }
 
     /// Runs for ever: closes each connection that a drain or a shutdown releases, that is, once it owes nothing after
@@ -155,12 +155,12 @@
     pub async fn run_drain_sweep(self: Rc<Self>) {
         let mut log = DrainLog::default();
         loop {
-            log.look(&self);
+            log.update(&self);
             if self.drain.borrow().since().is_none() {
-                let _ = self.nudged.1.recv().await;
+                let _ = self.drain_changed.1.recv().await;
                 continue;
             }
-            Timer::after(SWEEP).await;
+            Timer::after(SWEEP_INTERVAL).await;
             self.close_releasable();
         }
     }
@@ -173,15 +173,15 @@
         if drain.is_before_kill(now) {
             self.closing.end_all();
         }
-        for port in self.connections.borrow().values() {
-            let seen = port.seen();
-            if drain.may_close(now, seen) {
-                let _ = port.close.try_send(());
-            } else if port.is_waiting() && drain.must_answer_now(now, seen) {
+        for connection in self.connections.borrow().values() {
+            let state = connection.state();
+            if drain.may_close(now, state) {
+                let _ = connection.close.try_send(());
+            } else if connection.is_waiting() && drain.must_answer_now(now, state) {
                 // If the director's mailbox is full, the next sweep sends the message.
-                let _ = self.director.try_send(Message::GiveUp { client: port.id });
-            } else if seen.unwritten > 0 && drain.must_cut_off(now, port.takes_nothing_since()) {
-                let _ = port.cut.try_send(CloseReason::Stalled);
+                let _ = self.director.try_send(Message::GiveUp { client: connection.id });
+            } else if state.unwritten > 0 && drain.must_cut_off(now, connection.not_reading_since()) {
+                let _ = connection.cut.try_send(CloseReason::Stalled);
             }
         }
     }
@@ -195,7 +195,7 @@
     /// Number of clients' connections, and number of requests open on them.
     pub fn connection_counts(&self) -> (usize, usize) {
         let connections = self.connections.borrow();
-        (connections.len(), connections.values().map(|c| c.seen().open).sum())
+        (connections.len(), connections.values().map(|c| c.state().open).sum())
     }
 
     /// Whether the listener, with its queue, is closed and every connection was read to its end, answered and closed.
@@ -206,28 +206,32 @@
 
     /// Bytes of answers that wait to be written to clients.
     pub fn unwritten_bytes(&self) -> usize {
-        self.held.get()
+        self.unwritten_bytes.get()
     }
 
     /// Whether all answers are written.
     pub fn all_answers_written(&self) -> bool {
-        self.unflushed.get() == 0
+        self.unwritten_answers.get() == 0
     }
 
     /// Sets the memory limits anew, as shares of this much memory.
     pub fn set_memory_limit(&self, memory: usize) {
-        self.most_held.set(memory / 3);
-        self.most_taken.set(memory / 8);
+        self.max_unwritten_bytes.set(memory / 3);
+        self.max_write_bytes.set(memory / 8);
     }
 
     /// Limits the memory taken by slow readers: over the limit, the connection with the most unwritten bytes is cut off.
-    fn relieve(&self) {
-        if self.held.get() <= self.most_held.get() {
+    fn enforce_memory_limit(&self) {
+        if self.unwritten_bytes.get() <= self.max_unwritten_bytes.get() {
             return;
         }
-        if let Some(port) = self.connections.borrow().values().max_by_key(|p| p.held.get()) {
-            tracing::warn!(client = port.id, "cut off, {} bytes wait for it", port.held.get());
-            let _ = port.cut.try_send(CloseReason::Memory);
+        if let Some(connection) = self.connections.borrow().values().max_by_key(|c| c.unwritten_bytes.get()) {
+            tracing::warn!(
+                client = connection.id,
+                "cut off, {} bytes wait for it",
+                connection.unwritten_bytes.get()
+            );
+            let _ = connection.cut.try_send(CloseReason::Memory);
         }
     }
 
@@ -235,37 +239,37 @@
     fn refuse(&self, call: Call, reason: RefusalReason) -> Verdict {
         self.counters.refused(reason);
         tracing::debug!(rid = call.rid, reason = reason.name(), "refused");
-        Verdict::Refused(Refusal::new(SafeToRetry::unsent(call), &self.site.settings, STAY_AWAY))
+        Verdict::Refused(Refusal::new(SafeToRetry::unsent(call), &self.site.settings, REFUSAL_BACKOFF_MS))
     }
 
     /// Asks one unused connection to close, to make room for a client that waits to be accepted. Otherwise connections
     /// that are held and not used would keep all other clients out. One that never sent a message is chosen first, else
     /// the one unused for longest. A connection with an open request stays.
     fn evict(&self) {
-        let before = clock::now().saturating_sub(IN_USE);
+        let before = clock::now().saturating_sub(RECENT_USE);
         let connections = self.connections.borrow();
-        let unused = connections.values().filter(|c| c.seen().open == 0 && c.used.get() < before);
-        if let Some(port) = unused.min_by_key(|c| (c.asked.get(), c.used.get())) {
-            tracing::debug!(client = port.id, "closed to make room");
-            self.wanted.set(Some(port.id));
-            let _ = port.close.try_send(());
+        let unused = connections.values().filter(|c| c.state().open == 0 && c.last_active.get() < before);
+        if let Some(connection) = unused.min_by_key(|c| (c.received_any.get(), c.last_active.get())) {
+            tracing::debug!(client = connection.id, "closed to make room");
+            self.to_evict.set(Some(connection.id));
+            let _ = connection.close.try_send(());
         }
     }
 
     fn is_full(&self) -> bool {
-        self.connections.borrow().len() + self.closing.len() >= self.most_connections
+        self.connections.borrow().len() + self.closing.len() >= self.max_connections
     }
 
     /// Removes a connection that has ended or is closing.
-    fn ended(&self, id: u64) {
+    fn remove(&self, id: u64) {
         self.connections.borrow_mut().remove(&id);
-        let _ = self.freed.0.try_send(());
+        let _ = self.connection_ended.0.try_send(());
     }
 
     /// Removes a closing connection that has ended.
-    fn closed(&self, id: u64) {
+    fn closing_ended(&self, id: u64) {
         self.closing.remove(id);
-        let _ = self.freed.0.try_send(());
+        let _ = self.connection_ended.0.try_send(());
     }
 
     /// Accepts clients until told to stop. While all connections allowed for clients are in use, further clients wait
@@ -276,15 +280,16 @@
         tasks: Rc<LocalExecutor<'static>>,
     ) {
         let mut queue = AcceptQueue::new(LISTEN_BACKLOG + 1, clock::now());
-        let mut queued = None;
-        let (mut crowded, mut failing, mut failed) = (LimitedLine::default(), LimitedLine::default(), 0);
+        let mut queued_accepted = None;
+        let (mut full_log, mut failure_log, mut failed_accepts) =
+            (LimitedLine::default(), LimitedLine::default(), 0);
         loop {
             // On the order to stop, the queued connections are accepted first: closing the listener would reset them.
             let stop = async {
                 let _ = self.stop.1.recv().await;
                 None
             };
-            let accepted = match &mut queued {
+            let accepted = match &mut queued_accepted {
                 None => {
                     let accept = async { Some(listener.accept().await.map(|(s, _)| s)) };
                     let mut accept = pin!(future::or(accept, stop));
@@ -309,56 +314,63 @@
                 },
             };
             let Some(accepted) = accepted else {
-                queued = Some(0);
+                queued_accepted = Some(0);
                 continue;
             };
-            let came = accepted.is_ok().then(|| queue.take(clock::now()));
+            let arrived_after = accepted.is_ok().then(|| queue.accepted(clock::now()));
             while self.is_full() {
-                if self.closing.len() < MOST_CLOSING {
+                if self.closing.len() < MAX_CLOSING {
                     self.evict();
                 }
-                self.closing.hurry();
-                if crowded.is_due() {
+                self.closing.end_evictable();
+                if full_log.is_due() {
                     tracing::warn!("clients hold all their connections; those unused are closed for others");
                 }
-                let freed = async { self.freed.1.recv().await.is_ok() };
-                let later = async { Timer::after(ACCEPT_AGAIN).await < std::time::Instant::now() };
-                future::or(freed, later).await;
+                let connection_ended = async { self.connection_ended.1.recv().await.is_ok() };
+                let retry = async { Timer::after(ACCEPT_RETRY_DELAY).await < std::time::Instant::now() };
+                future::or(connection_ended, retry).await;
             }
             match accepted {
                 Ok(stream) => {
-                    failed = 0;
-                    self.admit(stream, came.unwrap_or_else(clock::now), &tasks);
+                    failed_accepts = 0;
+                    self.admit(stream, arrived_after.unwrap_or_else(clock::now), &tasks);
                 }
                 // The client has closed, or a signal came: the next connection may be waiting already.
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted) => {}
                 Err(e) => {
-                    if failing.is_due() {
+                    if failure_log.is_due() {
                         tracing::warn!("accept: {e}");
                     }
-                    failed += 1;
-                    Timer::after(ACCEPT_AGAIN).await;
+                    failed_accepts += 1;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
             // After the order to stop: no more connections than can have been queued, and no endless retries.
-            if queued.is_some_and(|taken| taken >= MOST_QUEUED || failed >= MOST_FAILED) {
+            if queued_accepted.is_some_and(|accepted_count| {
+                accepted_count >= MAX_QUEUED || failed_accepts >= MAX_FAILED_ACCEPTS
+            }) {
                 break;
             }
         }
         drop(listener);
         self.accepting.set(false);
-        tracing::info!("no more connections taken; {} were waiting", queued.unwrap_or(0));
+        tracing::info!("no more connections taken; {} were waiting", queued_accepted.unwrap_or(0));
     }
 
-    /// Registers a new connection and starts its task. `came` is the earliest time at which the connection can have
+    /// Registers a new connection and starts its task. `arrived_after` is the earliest time at which the connection can have
     /// arrived.
-    fn admit(self: &Rc<Self>, stream: Async<TcpStream>, came: Micros, tasks: &LocalExecutor<'static>) {
-        let id = self.next.get();
-        self.next.set(id + 1);
+    fn admit(
+        self: &Rc<Self>,
+        stream: Async<TcpStream>,
+        arrived_after: Micros,
+        tasks: &LocalExecutor<'static>,
+    ) {
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
         let stream = Rc::new(stream);
-        let (port, ends) = Connection::new(id, &stream, self);
-        self.connections.borrow_mut().insert(id, port.clone());
-        tasks.spawn(port.run(stream, came, ends)).detach();
+        let (connection, channels) = Connection::new(id, &stream, self);
+        self.connections.borrow_mut().insert(id, connection.clone());
+        tasks.spawn(connection.run(stream, arrived_after, channels)).detach();
     }
 }
--- a/silverspindle/src/front/closing.rs
+++ b/silverspindle/src/front/closing.rs
@@ -3,7 +3,7 @@
 //! Bytes written to the kernel are not yet delivered: closing a socket with unread bytes, or bytes that arrive after the
 //! close, reset the connection, and answers that this machine still buffers are lost. So this side shuts down only its
 //! sending direction, and reads and discards what arrives until the client closes as well. Time and bytes are bounded. The
-//! kernel buffers little ([`UNSENT`]), so the time is enough for a client that still reads.
+//! kernel buffers little ([`MAX_UNSENT`]), so the time is enough for a client that still reads.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -19,27 +19,27 @@
 
 /// Approximate maximum of unsent bytes that the kernel buffers on a client's connection; the rest waits in this process,
 /// where it counts as unwritten. A client that reads 1 MB/s, the slowest rate that the operators name, reads this many
-/// within a few milliseconds, one at 60 kB/s within [`LINGER`].
-pub(super) const UNSENT: u32 = 16 * 1024;
+/// within a few milliseconds, one at 60 kB/s within [`LINGER_TIMEOUT`].
+pub(super) const MAX_UNSENT: u32 = 16 * 1024;
 /// Maximum time of a lingering close, in microseconds. A client that reads has reached the end of the stream by then.
-pub(super) const LINGER: Micros = 2_000_000;
+pub(super) const LINGER_TIMEOUT: Micros = 2_000_000;
 /// Maximum number of bytes discarded on a closed connection: a client that sends more, at full speed, is not reading.
-const LINGER_BYTES: usize = 4 * 1024 * 1024;
+const MAX_DISCARDED: usize = 4 * 1024 * 1024;
 /// Minimum time of a lingering close, in microseconds, when others wait for the room: requests that crossed the close
 /// arrive within 50 ms.
-const CROSSES: Micros = 50_000;
+const MIN_LINGER: Micros = 50_000;
 /// Minimum time from the last write of an answer to the end of a lingering close, in microseconds, when others wait for
 /// the room: leaves the client time to read that answer.
-const TAKEN_BY: Micros = 500_000;
+const MIN_LINGER_AFTER_WRITE: Micros = 500_000;
 
 /// One lingering connection.
 #[derive(Debug)]
 struct Closing {
     id: u64,
     /// From then on the connection may be ended to make room for others.
-    may_go: Micros,
+    evictable_from: Micros,
     /// Ends the connection.
-    hurry: Sender<()>,
+    end: Sender<()>,
 }
 
 /// All lingering connections, in the order of their closes.
@@ -50,10 +50,10 @@
     /// Adds a connection that this side has closed, with the time of the last write to it. The returned channel signals
     /// that the connection has to end.
     pub fn add(&self, id: u64, last_written: Micros) -> Receiver<()> {
-        let (hurry, hurried) = async_channel::bounded(1);
-        let may_go = (clock::now() + CROSSES).max(last_written + TAKEN_BY);
-        self.0.borrow_mut().push_back(Closing { id, may_go, hurry });
-        hurried
+        let (end, ended) = async_channel::bounded(1);
+        let evictable_from = (clock::now() + MIN_LINGER).max(last_written + MIN_LINGER_AFTER_WRITE);
+        self.0.borrow_mut().push_back(Closing { id, evictable_from, end });
+        ended
     }
 
     /// Removes a connection that has ended.
@@ -62,17 +62,17 @@
     }
 
     /// Ends the connections past their minimum time, as others wait for the room.
-    pub fn hurry(&self) {
+    pub fn end_evictable(&self) {
         let now = clock::now();
-        for closing in self.0.borrow().iter().filter(|closing| closing.may_go <= now) {
-            let _ = closing.hurry.try_send(());
+        for closing in self.0.borrow().iter().filter(|closing| closing.evictable_from <= now) {
+            let _ = closing.end.try_send(());
         }
     }
 
     /// Ends all lingering connections.
     pub fn end_all(&self) {
         for closing in self.0.borrow().iter() {
-            let _ = closing.hurry.try_send(());
+            let _ = closing.end.try_send(());
         }
     }
 
@@ -82,11 +82,11 @@
     }
 }
 
-/// Reads and discards bytes until the client closes as well, the time `at_most` has passed, [`LINGER_BYTES`] were read or
-/// `hurried` signals.
-pub(super) async fn throw_away(stream: &Async<TcpStream>, at_most: Micros, hurried: Receiver<()>) {
+/// Reads and discards bytes until the client closes as well, `timeout` has passed, [`MAX_DISCARDED`] were read
+/// or `must_end` signals.
+pub(super) async fn discard_until_closed(stream: &Async<TcpStream>, timeout: Micros, must_end: Receiver<()>) {
     let read = async {
-        let (mut stream, mut buffer, mut left) = (stream, [0; 4096], LINGER_BYTES);
+        let (mut stream, mut buffer, mut left) = (stream, [0; 4096], MAX_DISCARDED);
         while let Ok(n) = stream.read(&mut buffer).await {
             left = left.saturating_sub(n);
             if n == 0 || left == 0 {
@@ -95,11 +95,11 @@
             future::yield_now().await;
         }
     };
-    let late = async {
-        Timer::after(Duration::from_micros(at_most)).await;
+    let expired = async {
+        Timer::after(Duration::from_micros(timeout)).await;
     };
-    let hurried = async {
-        let _ = hurried.recv().await;
+    let must_end = async {
+        let _ = must_end.recv().await;
     };
-    future::or(read, future::or(late, hurried)).await;
+    future::or(read, future::or(expired, must_end)).await;
 }
--- a/silverspindle/src/front/queue.rs
+++ b/silverspindle/src/front/queue.rs
@@ -15,29 +15,30 @@
     /// Maximum number of connections in the queue.
     length: usize,
     /// Earliest time at which the next connection can have arrived: the queue was empty then, or had just got room.
-    empty_at: Micros,
+    earliest_arrival: Micros,
     /// Times of the latest accepts since the queue was last seen empty, at most `length` of them.
-    taken: VecDeque<Micros>,
+    accept_times: VecDeque<Micros>,
 }
 
 impl AcceptQueue {
     /// Creates the state of a queue of this length that is empty now.
     pub fn new(length: usize, now: Micros) -> Self {
-        Self { length, empty_at: now, taken: VecDeque::new() }
+        Self { length, earliest_arrival: now, accept_times: VecDeque::new() }
     }
 
     /// Notes that the queue was found empty.
     pub fn seen_empty(&mut self, now: Micros) {
-        self.empty_at = now;
-        self.taken.clear();
+        self.earliest_arrival = now;
+        self.accept_times.clear();
     }
 
     /// Notes that a connection was accepted, and returns the earliest time at which it can have arrived.
-    pub fn take(&mut self, now: Micros) -> Micros {
+    pub fn accepted(&mut self, now: Micros) -> Micros {
         // The queue was not full when this connection entered it: of those before it, all but `length - 1` were accepted.
-        let room_made = if self.taken.len() >= self.length { self.taken.pop_front() } else { None };
-        self.taken.push_back(now);
-        self.empty_at = self.empty_at.max(room_made.unwrap_or(0));
-        self.empty_at
+        let room_made =
+            if self.accept_times.len() >= self.length { self.accept_times.pop_front() } else { None };
+        self.accept_times.push_back(now);
+        self.earliest_arrival = self.earliest_arrival.max(room_made.unwrap_or(0));
+        self.earliest_arrival
     }
 }
--- a/silverspindle/src/links.rs
+++ b/silverspindle/src/links.rs
@@ -30,9 +30,9 @@
 /// Timeout between two reads of a frame that has begun.
 pub(crate) const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Timeout of writing one piece of a frame; the connection ends when it expires.
-const WRITE: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of bytes per read.
-const CHUNK: usize = 16 * 1024;
+const READ_CHUNK: usize = 16 * 1024;
 
 /// A connection accepted from a peer.
 pub type Accepted = server::TlsStream<Async<TcpStream>>;
@@ -48,15 +48,15 @@
 
 /// Runs `work` with a timeout. `what` names the awaited thing in the error.
 pub(crate) async fn with_timeout<T>(
-    time: Duration,
+    timeout: Duration,
     what: &str,
     work: impl Future<Output = io::Result<T>>,
 ) -> io::Result<T> {
-    let late = async {
-        Timer::after(time).await;
+    let expired = async {
+        Timer::after(timeout).await;
         Err(io::Error::new(io::ErrorKind::TimedOut, format!("no {what} in time")))
     };
-    future::or(work, late).await
+    future::or(work, expired).await
 }
 
 /// Number of bytes that the first message of the exchange protocol in the buffer needs.
@@ -80,10 +80,11 @@
 
 impl Connector {
     /// Opens a TLS connection to the router with this name in its certificate.
-    pub async fn connect_tls(&self, name: &str, at: SocketAddr) -> io::Result<Connected> {
+    pub async fn connect_tls(&self, name: &str, address: SocketAddr) -> io::Result<Connected> {
         let server = ServerName::try_from(name.to_owned()).map_err(io::Error::other)?;
         let connector = TlsConnector::from(self.tls.borrow().client.clone());
-        let stream = with_timeout(CONNECT_TIMEOUT, "connection", Async::<TcpStream>::connect(at)).await?;
+        let stream =
+            with_timeout(CONNECT_TIMEOUT, "connection", Async::<TcpStream>::connect(address)).await?;
         let _ = stream.get_ref().set_nodelay(true);
         with_timeout(HANDSHAKE_TIMEOUT, "handshake", connector.connect(server, stream)).await
     }
@@ -92,10 +93,10 @@
     pub async fn connect_and_send(
         &self,
         name: &str,
-        at: SocketAddr,
+        address: SocketAddr,
         first: &Message,
     ) -> io::Result<Connected> {
-        let mut stream = self.connect_tls(name, at).await?;
+        let mut stream = self.connect_tls(name, address).await?;
         stream.write_all(&protocol::encode(first, VERSION)).await?;
         stream.flush().await?;
         Ok(stream)
@@ -106,24 +107,25 @@
 pub async fn write_frame<F: Serialize>(stream: &mut (impl AsyncWrite + Unpin), frame: &F) -> io::Result<()> {
     for piece in pieces(frame) {
         let bytes = protocol::encode(&Message::Piece(piece), VERSION);
-        with_timeout(WRITE, "room for a frame", stream.write_all(&bytes)).await?;
+        with_timeout(WRITE_TIMEOUT, "room for a frame", stream.write_all(&bytes)).await?;
     }
-    with_timeout(WRITE, "room for a frame", stream.flush()).await
+    with_timeout(WRITE_TIMEOUT, "room for a frame", stream.flush()).await
 }
 
-/// Reads frames of at most `most` bytes and passes them to `each`, until the connection ends or `each` returns an error.
+/// Reads frames of at most `max_bytes` bytes and passes them to `on_frame`, until the connection ends or `on_frame`
+/// returns an error.
 pub async fn read_frames<F: DeserializeOwned>(
     stream: impl AsyncRead + Unpin,
-    most: usize,
-    mut each: impl FnMut(F) -> io::Result<()>,
+    max_bytes: usize,
+    mut on_frame: impl FnMut(F) -> io::Result<()>,
 ) -> io::Result<()> {
-    let mut messages = MessageReader::new(stream, measure, CHUNK).with_stall_timeout(STALL_TIMEOUT);
-    let mut whole = Pieces::up_to(most);
+    let mut messages = MessageReader::new(stream, measure, READ_CHUNK).with_stall_timeout(STALL_TIMEOUT);
+    let mut assembler = Pieces::up_to(max_bytes);
     while let Some(bytes) = messages.next().await? {
         match protocol::decode(&bytes).map_err(invalid_data)? {
             Message::Piece(piece) => {
-                if let Some(frame) = whole.piece(&piece).map_err(invalid_data)? {
-                    each(frame)?;
+                if let Some(frame) = assembler.piece(&piece).map_err(invalid_data)? {
+                    on_frame(frame)?;
                 }
             }
             _ => return Err(invalid_data(Malformed::Kind(bytes[4]))),
@@ -133,13 +135,13 @@
 }
 
 /// Sends the queued frames and reads the peer's frames at the same time, until one direction ends. A frame of the peer
-/// may have at most `most` bytes. The connection is closed when nothing was sent for `idle`.
+/// may have at most `max_bytes` bytes. The connection is closed when nothing was sent for `idle`.
 pub async fn run_duplex<F, S>(
     stream: S,
     frames: &Receiver<F>,
     idle: Option<Duration>,
-    most: usize,
-    each: impl FnMut(F) -> io::Result<()>,
+    max_bytes: usize,
+    on_frame: impl FnMut(F) -> io::Result<()>,
 ) -> io::Result<()>
 where
     F: Serialize + DeserializeOwned,
@@ -148,52 +150,52 @@
     let (reader, mut writer) = streams::split(stream);
     let writes = async {
         loop {
-            let quiet = async {
+            let idle_expired = async {
                 match idle {
                     Some(idle) => Timer::after(idle).await,
                     None => Timer::never().await,
                 };
                 None
             };
-            match future::or(async { frames.recv().await.ok() }, quiet).await {
+            match future::or(async { frames.recv().await.ok() }, idle_expired).await {
                 Some(frame) => write_frame(&mut writer, &frame).await?,
                 None => return writer.close().await,
             }
         }
     };
-    future::or(writes, read_frames(reader, most, each)).await
+    future::or(writes, read_frames(reader, max_bytes, on_frame)).await
 }
 
-/// Sends a question and waits for the first frame that `good` accepts as its answer. `why` names a likely cause in the
+/// Sends a question and waits for the first frame that `accept` takes as its answer. `likely_cause` is named in the
 /// error if the peer closes the connection instead.
 pub async fn ask<F, T>(
     mut stream: Connected,
     question: &F,
-    patience: Duration,
-    why: &str,
-    mut good: impl FnMut(F) -> Option<T>,
+    timeout: Duration,
+    likely_cause: &str,
+    mut accept: impl FnMut(F) -> Option<T>,
 ) -> io::Result<T>
 where
     F: Serialize + DeserializeOwned,
 {
     write_frame(&mut stream, question).await?;
     let found = RefCell::new(None);
-    let (tell, told) = async_channel::bounded::<()>(1);
-    let each = |frame| {
-        if let Some(answer) = good(frame) {
+    let (notify, notified) = async_channel::bounded::<()>(1);
+    let on_frame = |frame| {
+        if let Some(answer) = accept(frame) {
             *found.borrow_mut() = Some(answer);
-            let _ = tell.try_send(());
+            let _ = notify.try_send(());
         }
         Ok(())
     };
     let reads = async {
-        read_frames(stream, MOST_FRAME, each).await?;
-        Err(io::Error::other(format!("closed without an answer: {why}")))
+        read_frames(stream, MOST_FRAME, on_frame).await?;
+        Err(io::Error::other(format!("closed without an answer: {likely_cause}")))
     };
     let answered = async {
-        let _ = told.recv().await;
+        let _ = notified.recv().await;
         Ok(())
     };
-    with_timeout(patience, "answer", future::or(answered, reads)).await?;
+    with_timeout(timeout, "answer", future::or(answered, reads)).await?;
     found.take().ok_or_else(|| io::Error::other("no answer"))
 }
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -22,30 +22,30 @@
 /// Capacity of an actor's mailbox. Where it is full the director counts the attempt as never sent.
 pub const MAILBOX_CAPACITY: usize = 256;
 /// Capacity of a connection's command queue: its streams and the commands that abandon them.
-const MOST_WAITING: usize = 96;
+const MAX_QUEUED_COMMANDS: usize = 96;
 /// Maximum number of abandoned ids that a connection remembers, as their answers may already be on the way.
-const MOST_CROSSING: usize = 256;
+const MAX_ABANDONED_IDS: usize = 256;
 /// Time for which an abandoned id is remembered, in microseconds.
-const CROSSING: Micros = 10_000_000;
+const ABANDONED_ID_LIFETIME: Micros = 10_000_000;
 /// Timeout of a probe, in microseconds.
-const PROBE_WAIT: Micros = 2_000_000;
+const PROBE_TIMEOUT: Micros = 2_000_000;
 /// Maximum number of bytes per read.
-const CHUNK: usize = 32 * 1024;
+const READ_CHUNK: usize = 32 * 1024;
 /// Timeout between two reads of an answer that has begun; the connection is closed when it expires. An answer is
 /// usually complete within a few milliseconds.
-const STALL: Duration = Duration::from_millis(300);
+const STALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Weight of one observation (an answer, or a connection that broke with attempts in flight) in the moving average of
 /// breaks.
-const BREAK_LEARN: f64 = 0.05;
+const BREAK_WEIGHT: f64 = 0.05;
 /// Number of sweeps for idle connections per idle timeout; also the divisor of the timeout that gives the safety margin.
-const IDLE_PART: Micros = 10;
+const SWEEPS_PER_IDLE_TIMEOUT: Micros = 10;
 /// Maximum interval between sweeps, in microseconds.
-const SWEEP: Micros = 1_000_000;
+const MAX_SWEEP_INTERVAL: Micros = 1_000_000;
 /// Minimum interval between sweeps, in microseconds.
-const SWEEP_LEAST: Micros = 50_000;
+const MIN_SWEEP_INTERVAL: Micros = 50_000;
 /// Minimum time by which a connection is closed before the peer's own idle timeout, in microseconds: covers the network
 /// delay and the time that a write may be queued.
-const IDLE_MARGIN: Micros = 250_000;
+const MIN_IDLE_MARGIN: Micros = 250_000;
 
 /// Message to a peer's actor, from the director or from one of the actor's connections.
 #[derive(Debug)]
@@ -74,23 +74,23 @@
 #[derive(Debug)]
 enum Command {
     /// Check an attempt and write it.
-    Want(Rc<Attempt>),
+    Attempt(Rc<Attempt>),
     /// Write these bytes.
-    Plain(Vec<u8>),
+    Raw(Vec<u8>),
 }
 
 /// The actor's state of one connection.
 #[derive(Debug)]
-struct Line {
+struct PeerConnection {
     commands: Sender<Command>,
-    up: bool,
+    established: bool,
     /// Kept so that the socket can be shut down before the director learns how the attempts on it ended.
     socket: Option<Rc<Async<TcpStream>>>,
     /// Attempts and probes in flight, by the id that their answer carries.
     streams: HashMap<Bytes, Stream>,
     /// Abandoned ids and when they were abandoned. Their answers may still arrive, so the ids are not reused on this
-    /// connection for [`CROSSING`].
-    crossing: HashMap<Bytes, Micros>,
+    /// connection for [`ABANDONED_ID_LIFETIME`].
+    abandoned: HashMap<Bytes, Micros>,
     last_used: Micros,
     /// An attempt timed out and nothing was received from the peer since the attempt was queued on a connection.
     silent: bool,
@@ -113,41 +113,41 @@
     id: MemberId,
     address: SocketAddr,
     /// Version of the address.
-    told: u64,
+    address_version: u64,
     shared: Rc<Shared>,
     mailbox: Receiver<PeerMessage>,
     /// Sender of the own mailbox, handed to the connections.
-    own: Sender<PeerMessage>,
-    lines: BTreeMap<u64, Line>,
-    next_line: u64,
+    own_mailbox: Sender<PeerMessage>,
+    connections: BTreeMap<u64, PeerConnection>,
+    next_connection: u64,
     next_probe: u64,
     /// When an answer was last received on any connection.
-    heard: Micros,
+    last_received: Micros,
     /// Moving average: share of connection breaks among answers and breaks.
-    breaks: f64,
+    break_share: f64,
     retired: bool,
 }
 
 impl Peer {
     /// Starts an actor and returns its mailbox.
     pub fn start(id: MemberId, address: SocketAddr, shared: &Rc<Shared>) -> Sender<PeerMessage> {
-        let (own, mailbox) = async_channel::bounded(MAILBOX_CAPACITY);
+        let (own_mailbox, mailbox) = async_channel::bounded(MAILBOX_CAPACITY);
         let peer = Peer {
             id,
             address,
-            told: 0,
+            address_version: 0,
             shared: shared.clone(),
             mailbox,
-            own: own.clone(),
-            lines: BTreeMap::new(),
-            next_line: 1,
+            own_mailbox: own_mailbox.clone(),
+            connections: BTreeMap::new(),
+            next_connection: 1,
             next_probe: 0,
-            heard: 0,
-            breaks: 0.0,
+            last_received: 0,
+            break_share: 0.0,
             retired: false,
         };
         shared.tasks.spawn(peer.run()).detach();
-        own
+        own_mailbox
     }
 
     /// The member's name as the coordinator and the caches write it.
@@ -157,83 +157,86 @@
 
     async fn run(mut self) {
         // The sweep is due by the clock and not after an idle moment: a steady flow of messages must not postpone it.
-        let sweep_every = SWEEP.min(self.shared.site.idle_close / IDLE_PART).max(SWEEP_LEAST);
-        let mut due = clock::now() + sweep_every;
+        let sweep_interval = MAX_SWEEP_INTERVAL
+            .min(self.shared.site.idle_close / SWEEPS_PER_IDLE_TIMEOUT)
+            .max(MIN_SWEEP_INTERVAL);
+        let mut next_sweep = clock::now() + sweep_interval;
         loop {
-            let timer = clock::timer_at(due);
+            let timer = clock::timer_at(next_sweep);
             let sweep = async {
                 timer.await;
                 None
             };
-            let next = match self.lines.is_empty() {
+            let next = match self.connections.is_empty() {
                 true => self.mailbox.recv().await.ok(),
                 false => future::or(async { self.mailbox.recv().await.ok() }, sweep).await,
             };
-            if let Some(order) = next {
-                self.order(order).await;
+            if let Some(message) = next {
+                self.handle(message).await;
             }
-            if clock::now() >= due {
+            if clock::now() >= next_sweep {
                 self.sweep();
-                due = clock::now() + sweep_every;
+                next_sweep = clock::now() + sweep_interval;
             }
-            if self.retired && self.lines.is_empty() {
-                return self.leave().await;
+            if self.retired && self.connections.is_empty() {
+                return self.finish().await;
             }
         }
     }
 
-    async fn order(&mut self, order: PeerMessage) {
-        match order {
-            PeerMessage::Send(attempt) => self.send(attempt).await,
-            PeerMessage::Abandon(attempt, timed_out) => self.give_up(&attempt, timed_out),
-            PeerMessage::Probe => self.probe().await,
-            PeerMessage::Address(address, told) => {
-                if told < self.told {
+    async fn handle(&mut self, message: PeerMessage) {
+        match message {
+            PeerMessage::Send(attempt) => self.send_attempt(attempt).await,
+            PeerMessage::Abandon(attempt, timed_out) => self.abandon(&attempt, timed_out),
+            PeerMessage::Probe => self.send_probe().await,
+            PeerMessage::Address(address, version) => {
+                if version < self.address_version {
                     return;
                 }
-                self.told = told;
+                self.address_version = version;
                 if std::mem::replace(&mut self.address, address) != address {
                     // Connections to the old address finish their attempts and get no new ones.
-                    for attempt in self.close_lines() {
-                        self.send(attempt).await;
+                    for attempt in self.close_connections() {
+                        self.send_attempt(attempt).await;
                     }
                 }
             }
             PeerMessage::Retire => {
                 self.retired = true;
-                for attempt in self.close_lines() {
-                    self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
+                for attempt in self.close_connections() {
+                    self.report_end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
                 }
             }
-            PeerMessage::Connected(line, socket) => {
-                if let Some(line) = self.lines.get_mut(&line) {
-                    (line.up, line.socket) = (true, Some(socket));
+            PeerMessage::Connected(connection, socket) => {
+                if let Some(connection) = self.connections.get_mut(&connection) {
+                    (connection.established, connection.socket) = (true, Some(socket));
                 }
             }
-            PeerMessage::Answer(line, frame) => self.answer(line, frame).await,
+            PeerMessage::Answer(connection, frame) => self.handle_answer(connection, frame).await,
             // The attempt has moved to another connection, which reports its end.
-            PeerMessage::NotWritten(line, attempt) if attempt.connection.get() != line => {}
-            PeerMessage::NotWritten(line, attempt) => {
+            PeerMessage::NotWritten(connection, attempt) if attempt.connection.get() != connection => {}
+            PeerMessage::NotWritten(connection, attempt) => {
                 // Its id was never used on this connection, so a retry may use it; it is established by now and the
                 // best choice.
-                attempt.call.used_connections.borrow_mut().retain(|stood| *stood != (self.id, line));
-                let own = |s: &Stream| matches!(s, Stream::Attempt(a, _) if a.ticket == attempt.ticket);
-                if let Some(line) = self.lines.get_mut(&line) {
-                    line.streams.retain(|_, stream| !own(stream));
+                attempt.call.used_connections.borrow_mut().retain(|used| *used != (self.id, connection));
+                let same_attempt =
+                    |s: &Stream| matches!(s, Stream::Attempt(a, _) if a.ticket == attempt.ticket);
+                if let Some(connection) = self.connections.get_mut(&connection) {
+                    connection.streams.retain(|_, stream| !same_attempt(stream));
                 }
-                self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
+                self.report_end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
             }
-            PeerMessage::Disconnected(line, why) => self.down(line, &why).await,
+            PeerMessage::Disconnected(connection, error) => self.handle_disconnect(connection, &error).await,
         }
     }
 
     /// Lets all connections finish the attempts written on them and give them no new ones. Returns the attempts not yet
     /// written: a connection that is slow to come up would send them to a process that is gone or has been replaced.
-    fn close_lines(&mut self) -> Vec<Rc<Attempt>> {
+    fn close_connections(&mut self) -> Vec<Rc<Attempt>> {
         let mut unwritten = Vec::new();
-        for line in self.lines.values_mut() {
-            line.closing = true;
-            line.streams.retain(|_, stream| match stream {
+        for connection in self.connections.values_mut() {
+            connection.closing = true;
+            connection.streams.retain(|_, stream| match stream {
                 Stream::Attempt(attempt, _) if !attempt.written.get() => {
                     attempt.connection.set(0);
                     unwritten.push(attempt.clone());
@@ -247,20 +250,20 @@
     }
 
     /// Last step of a retired actor: reports what is left in the mailbox as never sent.
-    async fn leave(self) {
+    async fn finish(self) {
         self.mailbox.close();
-        while let Ok(order) = self.mailbox.try_recv() {
-            match order {
+        while let Ok(message) = self.mailbox.try_recv() {
+            match message {
                 PeerMessage::Send(attempt) => {
-                    self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await
+                    self.report_end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await
                 }
-                PeerMessage::Probe => self.probed(Status::ConnectFailed, 0, None).await,
+                PeerMessage::Probe => self.report_probe(Status::ConnectFailed, 0, None).await,
                 _ => {}
             }
         }
     }
 
-    async fn end(&self, end: AttemptEnd) {
+    async fn report_end(&self, end: AttemptEnd) {
         let _ = self.shared.director.send(Message::Ended(end)).await;
     }
 
@@ -271,144 +274,148 @@
     /// request in a busy moment. An id is used at most once on a connection, as two answers with the same id can't be
     /// told apart. A connection that the peer may be about to close is not chosen, with a wider margin for classes that
     /// may not be repeated.
-    fn line_for(&mut self, id: &[u8], attempt: Option<&Attempt>) -> Option<u64> {
+    fn choose_connection(&mut self, id: &[u8], attempt: Option<&Attempt>) -> Option<u64> {
         let streams = self.shared.site.streams_per_conn;
-        let (now, idle, me) = (clock::now(), self.idle(), self.id);
+        let (now, idle, member) = (clock::now(), self.idle_timeout(), self.id);
         let classes = &self.shared.site.settings.classes;
-        let once = attempt.is_some_and(|a| {
+        let at_most_once = attempt.is_some_and(|a| {
             classes.get(a.call.class).is_none_or(|c| c.idempotency == Idempotency::AtMostOnce)
         });
-        let idle = if once { idle / 4 } else { idle };
-        let takes = |n: u64, l: &Line| {
-            l.streams.len() < streams
-                && (!l.streams.is_empty() || now.saturating_sub(l.last_used) < idle)
-                && !attempt.is_some_and(|a| a.call.used_connections.borrow().contains(&(me, n)))
-                && !l.silent
-                && !l.closing
-                && !l.streams.contains_key(id)
-                && !l.crossing.contains_key(id)
-                && l.crossing.len() < MOST_CROSSING
-                && l.commands.len() < MOST_WAITING - 1
+        let idle = if at_most_once { idle / 4 } else { idle };
+        let can_take = |n: u64, c: &PeerConnection| {
+            c.streams.len() < streams
+                && (!c.streams.is_empty() || now.saturating_sub(c.last_used) < idle)
+                && !attempt.is_some_and(|a| a.call.used_connections.borrow().contains(&(member, n)))
+                && !c.silent
+                && !c.closing
+                && !c.streams.contains_key(id)
+                && !c.abandoned.contains_key(id)
+                && c.abandoned.len() < MAX_ABANDONED_IDS
+                && c.commands.len() < MAX_QUEUED_COMMANDS - 1
         };
-        let able = self.lines.iter().filter(|(n, l)| takes(**n, l));
-        let found = able.min_by_key(|(n, l)| (l.streams.len(), !l.up, **n));
-        let found = found.map(|(n, l)| (*n, l.streams.len()));
-        let plenty = self.shared.descriptors.has_spare();
-        let cheaper = |streams: usize| streams as f64 * self.breaks < self.shared.site.handshake_cost;
-        match found {
-            Some((n, streams)) if streams == 0 || !plenty || cheaper(streams) => return Some(n),
+        let usable = self.connections.iter().filter(|(n, c)| can_take(**n, c));
+        let best = usable.min_by_key(|(n, c)| (c.streams.len(), !c.established, **n));
+        let best = best.map(|(n, c)| (*n, c.streams.len()));
+        let has_spare = self.shared.descriptors.has_spare();
+        let cheaper = |streams: usize| streams as f64 * self.break_share < self.shared.site.handshake_cost;
+        match best {
+            Some((n, streams)) if streams == 0 || !has_spare || cheaper(streams) => return Some(n),
             _ => {}
         }
         let Some(descriptor) = self.shared.descriptors.take() else {
-            if found.is_none() {
+            if best.is_none() {
                 tracing::warn!(member = %self.name(), "no descriptor left for another connection");
             }
-            return found.map(|(n, _)| n);
+            return best.map(|(n, _)| n);
         };
-        let (commands, waiting) = async_channel::bounded(MOST_WAITING);
-        let (alive, ended) = async_channel::bounded(1);
-        let n = self.next_line;
-        self.next_line += 1;
-        let line = Line {
+        let (commands, queued_commands) = async_channel::bounded(MAX_QUEUED_COMMANDS);
+        let (alive, cancelled) = async_channel::bounded(1);
+        let n = self.next_connection;
+        self.next_connection += 1;
+        let connection = PeerConnection {
             commands,
-            up: false,
+            established: false,
             socket: None,
             streams: HashMap::new(),
-            crossing: HashMap::new(),
+            abandoned: HashMap::new(),
             last_used: now,
             silent: false,
             closing: false,
             _descriptor: descriptor,
             _alive: alive,
         };
-        self.lines.insert(n, line);
-        let connection = Connection {
+        self.connections.insert(n, connection);
+        let task = ConnectionTask {
             peer: self.id,
-            line: n,
+            connection: n,
             address: self.address,
-            waiting,
-            ended,
-            actor: self.own.clone(),
+            queued_commands,
+            cancelled,
+            actor: self.own_mailbox.clone(),
             shared: self.shared.clone(),
         };
-        self.shared.tasks.spawn(connection.run()).detach();
+        self.shared.tasks.spawn(task.run()).detach();
         Some(n)
     }
 
-    async fn send(&mut self, attempt: Rc<Attempt>) {
+    async fn send_attempt(&mut self, attempt: Rc<Attempt>) {
         let id = Bytes::copy_from_slice(attempt.call.rid.as_bytes());
-        let line =
-            if attempt.abandoned.get() || self.retired { None } else { self.line_for(&id, Some(&attempt)) };
-        let Some((number, line)) = line.and_then(|n| Some((n, self.lines.get_mut(&n)?))) else {
-            return self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
+        let connection = if attempt.abandoned.get() || self.retired {
+            None
+        } else {
+            self.choose_connection(&id, Some(&attempt))
+        };
+        let Some((number, connection)) = connection.and_then(|n| Some((n, self.connections.get_mut(&n)?)))
+        else {
+            return self.report_end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await;
         };
         let now = clock::now();
-        line.last_used = now;
+        connection.last_used = now;
         attempt.connection.set(number);
         attempt.call.used_connections.borrow_mut().push((self.id, number));
-        match line.commands.try_send(Command::Want(attempt.clone())) {
-            Ok(()) => drop(line.streams.insert(id, Stream::Attempt(attempt, now))),
-            Err(_) => self.end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await,
+        match connection.commands.try_send(Command::Attempt(attempt.clone())) {
+            Ok(()) => drop(connection.streams.insert(id, Stream::Attempt(attempt, now))),
+            Err(_) => self.report_end(AttemptEnd::without_details(attempt.ticket, Status::Moot)).await,
         }
     }
 
-    async fn probe(&mut self) {
+    async fn send_probe(&mut self) {
         self.next_probe += 1;
-        let tag = Bytes::from(format!("probe-{}", self.next_probe));
-        let line = if self.retired { None } else { self.line_for(&tag, None) };
-        let sent = line.and_then(|n| self.lines.get_mut(&n)).is_some_and(|line| {
-            let command = Command::Plain(resp::encode_array(&[b"busy", &tag]));
-            line.streams.insert(tag, Stream::Probe(clock::now()));
-            line.commands.try_send(command).is_ok()
+        let id = Bytes::from(format!("probe-{}", self.next_probe));
+        let connection = if self.retired { None } else { self.choose_connection(&id, None) };
+        let sent = connection.and_then(|n| self.connections.get_mut(&n)).is_some_and(|connection| {
+            let command = Command::Raw(resp::encode_array(&[b"busy", &id]));
+            connection.streams.insert(id, Stream::Probe(clock::now()));
+            connection.commands.try_send(command).is_ok()
         });
         if !sent {
-            self.probed(Status::ConnectFailed, 0, None).await;
+            self.report_probe(Status::ConnectFailed, 0, None).await;
         }
     }
 
-    async fn probed(&self, status: Status, elapsed: Micros, load: Option<Load>) {
+    async fn report_probe(&self, status: Status, elapsed: Micros, load: Option<Load>) {
         let _ = self.shared.director.send(Message::Probed { member: self.id, status, elapsed, load }).await;
     }
 
-    fn give_up(&mut self, attempt: &Rc<Attempt>, timed_out: bool) {
+    fn abandon(&mut self, attempt: &Rc<Attempt>, timed_out: bool) {
         let id = attempt.call.rid.as_bytes();
-        let own = |s: Option<&Stream>| match s {
+        let queued_since = |s: Option<&Stream>| match s {
             Some(Stream::Attempt(out, since)) if out.ticket == attempt.ticket => Some(*since),
             _ => None,
         };
-        let Some((line, since)) = self
-            .lines
+        let Some((connection, since)) = self
+            .connections
             .values_mut()
-            .find_map(|l| Some((own(l.streams.get(id))?, l)))
-            .map(|(since, line)| (line, since))
+            .find_map(|c| Some((queued_since(c.streams.get(id))?, c)))
+            .map(|(since, connection)| (connection, since))
         else {
             return;
         };
-        line.streams.remove(id);
+        connection.streams.remove(id);
         if attempt.written.get() {
-            let _ = line.commands.try_send(Command::Plain(resp::encode_array(&[b"never_mind", id])));
-            line.crossing.insert(Bytes::copy_from_slice(id), clock::now());
+            let _ = connection.commands.try_send(Command::Raw(resp::encode_array(&[b"never_mind", id])));
+            connection.abandoned.insert(Bytes::copy_from_slice(id), clock::now());
         }
         // Guards against a machine that is cut off from the network: its connections stay open but silent. New attempts
         // use a new connection, as a failed connect proves that nothing ran, and silence does not.
-        if timed_out && self.heard <= since {
-            self.lines.values_mut().for_each(|line| line.silent = true);
+        if timed_out && self.last_received <= since {
+            self.connections.values_mut().for_each(|connection| connection.silent = true);
         }
     }
 
-    async fn answer(&mut self, number: u64, frame: Bytes) {
-        let Some(line) = self.lines.get_mut(&number) else { return };
+    async fn handle_answer(&mut self, number: u64, frame: Bytes) {
+        let Some(connection) = self.connections.get_mut(&number) else { return };
         let now = clock::now();
-        (line.last_used, line.silent) = (now, false);
-        self.heard = now;
-        self.breaks -= BREAK_LEARN * self.breaks;
+        (connection.last_used, connection.silent) = (now, false);
+        self.last_received = now;
+        self.break_share -= BREAK_WEIGHT * self.break_share;
         let answer = match resp::decode(&frame) {
             Ok(answer) => answer,
-            Err(e) => return self.down(number, &e.into()).await,
+            Err(e) => return self.handle_disconnect(number, &e.into()).await,
         };
-        let Some(stream) = line.streams.remove(answer.id) else {
+        let Some(stream) = connection.streams.remove(answer.id) else {
             // The attempt was abandoned while its answer was on the way, or the answer is a duplicate.
-            if line.crossing.remove(answer.id).is_none() {
+            if connection.abandoned.remove(answer.id).is_none() {
                 tracing::debug!(member = %self.name(), "answer without a pending attempt discarded");
             }
             return;
@@ -416,15 +423,15 @@
         match stream {
             Stream::Probe(since) => {
                 let elapsed = now.saturating_sub(since);
-                self.probed(answer.code.status(), elapsed, answer.load).await;
+                self.report_probe(answer.code.status(), elapsed, answer.load).await;
             }
             Stream::Attempt(attempt, _) => {
-                // The answer to a write is not a copy and has no name.
+                // The answer to a write is not a copy and has no version.
                 let classes = &self.shared.site.settings.classes;
-                let whole =
+                let is_complete =
                     answer.version.is_some() || classes.get(attempt.call.class).is_some_and(|c| c.write);
                 let body = match answer.code {
-                    AnswerCode::Hit if whole => Some(frame.slice_ref(answer.body)),
+                    AnswerCode::Hit if is_complete => Some(frame.slice_ref(answer.body)),
                     // The client's copy is current only if the cache names that same copy.
                     AnswerCode::Valid if answer.version.is_some_and(|(tag, _)| attempt.call.holds(tag)) => {
                         None
@@ -432,53 +439,62 @@
                     AnswerCode::Hit | AnswerCode::Valid | AnswerCode::Pong | AnswerCode::Sick => {
                         // Put back, so that the attempt ends together with the connection.
                         let id = Bytes::copy_from_slice(answer.id);
-                        line.streams.insert(id, Stream::Attempt(attempt, now));
+                        connection.streams.insert(id, Stream::Attempt(attempt, now));
                         let e =
                             io::Error::new(io::ErrorKind::InvalidData, "answer does not match its request");
-                        return self.down(number, &e).await;
+                        return self.handle_disconnect(number, &e).await;
                     }
                     _ => None,
                 };
                 let (status, note) = (answer.code.status(), answer.note);
                 let (waited, load) = (answer.waited, answer.load);
                 let version = answer.version.map(|(tag, stamp)| (frame.slice_ref(tag), stamp));
-                self.end(AttemptEnd { ticket: attempt.ticket, status, note, waited, load, body, version })
-                    .await;
+                self.report_end(AttemptEnd {
+                    ticket: attempt.ticket,
+                    status,
+                    note,
+                    waited,
+                    load,
+                    body,
+                    version,
+                })
+                .await;
             }
         }
     }
 
     /// Handles the end of a connection. Attempts that were written may have run and end as reset. Those not yet written
     /// move to another connection if this one had been established; else they end as never run.
-    async fn down(&mut self, number: u64, why: &io::Error) {
-        let Some(line) = self.lines.remove(&number) else { return };
+    async fn handle_disconnect(&mut self, number: u64, error: &io::Error) {
+        let Some(connection) = self.connections.remove(&number) else { return };
         // Shut down first: the cache must have lost the attempts on it before the director decides on the next ones.
-        if let Some(socket) = &line.socket {
+        if let Some(socket) = &connection.socket {
             let _ = socket.get_ref().shutdown(Shutdown::Both);
         }
-        if line.up && !line.streams.is_empty() {
-            self.breaks += BREAK_LEARN * (1.0 - self.breaks);
+        if connection.established && !connection.streams.is_empty() {
+            self.break_share += BREAK_WEIGHT * (1.0 - self.break_share);
         }
-        if !line.streams.is_empty() || why.kind() == io::ErrorKind::InvalidData {
-            let n = line.streams.len();
-            tracing::info!(member = %self.name(), "connection ended with {n} attempts out: {why}");
+        if !connection.streams.is_empty() || error.kind() == io::ErrorKind::InvalidData {
+            let n = connection.streams.len();
+            tracing::info!(member = %self.name(), "connection ended with {n} attempts out: {error}");
         }
-        for (_, stream) in line.streams {
+        for (_, stream) in connection.streams {
             match stream {
                 Stream::Probe(since) => {
                     let elapsed = clock::now().saturating_sub(since);
-                    let status = if line.up { Status::Reset } else { Status::ConnectFailed };
-                    self.probed(status, elapsed, None).await;
+                    let status = if connection.established { Status::Reset } else { Status::ConnectFailed };
+                    self.report_probe(status, elapsed, None).await;
                 }
                 Stream::Attempt(a, _) if a.written.get() => {
-                    self.end(AttemptEnd::without_details(a.ticket, Status::Reset)).await;
+                    self.report_end(AttemptEnd::without_details(a.ticket, Status::Reset)).await;
                 }
-                Stream::Attempt(a, _) if line.up => self.send(a).await,
+                Stream::Attempt(a, _) if connection.established => self.send_attempt(a).await,
                 // Nothing was written, so nothing ran, whatever the error says. A lack of resources on this machine
                 // says nothing about the member.
                 Stream::Attempt(a, _) => {
-                    let status = if is_own_want(why) { Status::Moot } else { Status::ConnectFailed };
-                    self.end(AttemptEnd::without_details(a.ticket, status)).await;
+                    let status =
+                        if is_local_resource_error(error) { Status::Moot } else { Status::ConnectFailed };
+                    self.report_end(AttemptEnd::without_details(a.ticket, status)).await;
                 }
             }
         }
@@ -486,106 +502,112 @@
 
     /// Idle time after which a connection is closed: less than the peer's idle timeout, so that no request crosses the
     /// peer's close.
-    fn idle(&self) -> Micros {
-        let told = self.shared.site.idle_close;
-        told - (told / IDLE_PART).max(IDLE_MARGIN).min(told / 2)
+    fn idle_timeout(&self) -> Micros {
+        let timeout = self.shared.site.idle_close;
+        timeout - (timeout / SWEEPS_PER_IDLE_TIMEOUT).max(MIN_IDLE_MARGIN).min(timeout / 2)
     }
 
     /// Fails probes past their timeout and closes connections without streams that are idle, silent or closing.
     fn sweep(&mut self) {
-        let (now, idle) = (clock::now(), self.idle());
-        self.lines.retain(|_, line| {
-            line.streams.retain(|_, stream| match stream {
-                Stream::Probe(since) if now.saturating_sub(*since) >= PROBE_WAIT => {
-                    let (status, elapsed, load) = (Status::Timeout, PROBE_WAIT, None);
-                    let probed = Message::Probed { member: self.id, status, elapsed, load };
-                    let _ = self.shared.director.try_send(probed);
-                    line.silent = true;
+        let (now, idle) = (clock::now(), self.idle_timeout());
+        self.connections.retain(|_, connection| {
+            connection.streams.retain(|_, stream| match stream {
+                Stream::Probe(since) if now.saturating_sub(*since) >= PROBE_TIMEOUT => {
+                    let (status, elapsed, load) = (Status::Timeout, PROBE_TIMEOUT, None);
+                    let message = Message::Probed { member: self.id, status, elapsed, load };
+                    let _ = self.shared.director.try_send(message);
+                    connection.silent = true;
                     false
                 }
                 _ => true,
             });
-            line.crossing.retain(|_, at| now.saturating_sub(*at) < CROSSING);
-            let old = now.saturating_sub(line.last_used) >= idle;
-            !line.streams.is_empty() || !(old || line.silent || line.closing)
+            connection.abandoned.retain(|_, at| now.saturating_sub(*at) < ABANDONED_ID_LIFETIME);
+            let is_idle = now.saturating_sub(connection.last_used) >= idle;
+            !connection.streams.is_empty() || !(is_idle || connection.silent || connection.closing)
         });
     }
 }
 
 /// The task of one connection.
-struct Connection {
+struct ConnectionTask {
     peer: MemberId,
-    line: u64,
+    connection: u64,
     address: SocketAddr,
-    waiting: Receiver<Command>,
-    ended: Receiver<()>,
+    queued_commands: Receiver<Command>,
+    cancelled: Receiver<()>,
     actor: Sender<PeerMessage>,
     shared: Rc<Shared>,
 }
 
-impl Connection {
+impl ConnectionTask {
     async fn run(self) {
-        let Err(why) = self.serve().await;
-        let _ = self.actor.send(PeerMessage::Disconnected(self.line, why)).await;
+        let Err(error) = self.serve().await;
+        let _ = self.actor.send(PeerMessage::Disconnected(self.connection, error)).await;
     }
 
     async fn serve(&self) -> Result<std::convert::Infallible, io::Error> {
-        let late = async {
+        let timeout = async {
             Timer::after(Duration::from_micros(self.shared.site.settings.connect_timeout)).await;
             Err(io::Error::new(io::ErrorKind::TimedOut, "connect timed out"))
         };
-        let stream = Rc::new(future::or(Async::<TcpStream>::connect(self.address), late).await?);
+        let stream = Rc::new(future::or(Async::<TcpStream>::connect(self.address), timeout).await?);
         let _ = stream.get_ref().set_nodelay(true);
-        self.actor.send(PeerMessage::Connected(self.line, stream.clone())).await.map_err(gone)?;
+        self.actor
+            .send(PeerMessage::Connected(self.connection, stream.clone()))
+            .await
+            .map_err(closed_error)?;
         let stream = &*stream;
         let classes = &self.shared.site.settings.classes;
-        let longest = Duration::from_micros(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
+        let longest_deadline = Duration::from_micros(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
         let read = async {
             // No client waits longer than the longest deadline, so an answer that trickles on is cut off then.
-            let mut answers = MessageReader::new(stream, resp::measure, CHUNK)
-                .with_stall_timeout(STALL)
-                .with_message_timeout(longest);
+            let mut answers = MessageReader::new(stream, resp::measure, READ_CHUNK)
+                .with_stall_timeout(STALL_TIMEOUT)
+                .with_message_timeout(longest_deadline);
             while let Some(frame) = answers.next().await? {
-                self.actor.send(PeerMessage::Answer(self.line, frame)).await.map_err(gone)?;
+                self.actor.send(PeerMessage::Answer(self.connection, frame)).await.map_err(closed_error)?;
             }
             Err(io::Error::new(io::ErrorKind::UnexpectedEof, "closed by the peer"))
         };
         let write = async {
             loop {
-                let (bytes, written) = match self.waiting.recv().await.map_err(gone)? {
-                    Command::Plain(bytes) => (bytes, 0),
-                    Command::Want(attempt) => match self.begin(stream, &attempt).await? {
-                        Some(begun) => begun,
+                let (bytes, written) = match self.queued_commands.recv().await.map_err(closed_error)? {
+                    Command::Raw(bytes) => (bytes, 0),
+                    Command::Attempt(attempt) => match self.write_first_bytes(stream, &attempt).await? {
+                        Some(started) => started,
                         None => continue,
                     },
                 };
-                let mut rest = stream;
-                rest.write_all(&bytes[written..]).await?;
+                let mut writer = stream;
+                writer.write_all(&bytes[written..]).await?;
             }
         };
-        let cut = async {
-            let _ = self.ended.recv().await;
+        let cancellation = async {
+            let _ = self.cancelled.recv().await;
             Err(io::Error::new(io::ErrorKind::NotConnected, "closed"))
         };
-        future::or(future::or(read, write), cut).await
+        future::or(future::or(read, write), cancellation).await
     }
 }
 
-impl Connection {
+impl ConnectionTask {
     /// Writes the first bytes of an attempt. Returns its command and the number of bytes written; none if the attempt may
     /// no longer be sent. This is the one place where attempts are checked before they are sent: nothing may come
     /// between the check and the write, so a wait for room in the socket is followed by another check.
-    async fn begin(
+    async fn write_first_bytes(
         &self,
         stream: &Async<TcpStream>,
         attempt: &Rc<Attempt>,
     ) -> io::Result<Option<(Vec<u8>, usize)>> {
         loop {
-            if attempt.abandoned.get() || attempt.connection.get() != self.line {
+            if attempt.abandoned.get() || attempt.connection.get() != self.connection {
                 return Ok(None);
             }
             if !self.shared.state.allows(attempt, self.peer) {
-                self.actor.send(PeerMessage::NotWritten(self.line, attempt.clone())).await.map_err(gone)?;
+                self.actor
+                    .send(PeerMessage::NotWritten(self.connection, attempt.clone()))
+                    .await
+                    .map_err(closed_error)?;
                 return Ok(None);
             }
             let bytes = attempt.command(&self.shared.site);
@@ -603,11 +625,11 @@
 }
 
 /// Whether a connect failed for lack of resources on this machine.
-fn is_own_want(why: &io::Error) -> bool {
-    let wants = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
-    Errno::from_io_error(why).is_some_and(|errno| wants.contains(&errno))
+fn is_local_resource_error(error: &io::Error) -> bool {
+    let resource_errors = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
+    Errno::from_io_error(error).is_some_and(|errno| resource_errors.contains(&errno))
 }
 
-fn gone<T>(_: T) -> io::Error {
+fn closed_error<T>(_: T) -> io::Error {
     io::Error::new(io::ErrorKind::NotConnected, "closed")
 }
--- a/silverspindle/tests/front_times.rs
+++ b/silverspindle/tests/front_times.rs
@@ -7,47 +7,52 @@
     ARRIVAL_WINDOW, ConnectionState, Drain, FORCED_ANSWER_AFTER, GRACE, HoldReason, KILL_MARGIN,
 };
 use silverspindle::front::queue::AcceptQueue;
-use silverspindle::front::reading::{CROSSES, FULL_BUFFERS, MARGIN, MOST_UNREAD, PER_BYTE, Reading, WAITED};
+use silverspindle::front::reading::{
+    FULL_BUFFERS, MAX_UNREAD, READ_TIME_PER_BYTE, RESEND_WINDOW, ReadProgress, SLOW_READER_FACTOR, SLOW_WRITE,
+};
 
 const S: Micros = 1_000_000;
 
 #[test]
 fn a_connection_can_have_arrived_since_the_queue_was_last_empty() {
     let mut queue = AcceptQueue::new(3, 100);
-    assert_eq!(queue.take(500), 100);
-    assert_eq!(queue.take(501), 100);
+    assert_eq!(queue.accepted(500), 100);
+    assert_eq!(queue.accepted(501), 100);
     queue.seen_empty(600);
-    assert_eq!(queue.take(700), 600);
+    assert_eq!(queue.accepted(700), 600);
 }
 
 #[test]
 fn a_connection_can_have_arrived_since_there_was_room_for_it() {
     let mut queue = AcceptQueue::new(3, 100);
-    let bounds: Vec<Micros> = (1..=6).map(|n| queue.take(1000 * n)).collect();
+    let bounds: Vec<Micros> = (1..=6).map(|n| queue.accepted(1000 * n)).collect();
     assert_eq!(bounds, [100, 100, 100, 1000, 2000, 3000]);
 }
 
 #[test]
 fn a_client_is_assumed_to_read_at_the_slowest_rate_even_if_no_write_waited() {
-    let reading = Reading::default();
-    reading.wrote(1000, 50_000, WAITED - 1);
-    assert_eq!(reading.reads_until(1000), None, "the client resends what it sends meanwhile");
-    reading.wrote(1000, 100_000, WAITED - 1);
-    assert_eq!(reading.reads_until(1000), Some(1000 + 150_000 - CROSSES));
+    let reading = ReadProgress::default();
+    reading.record_write(1000, 50_000, SLOW_WRITE - 1);
+    assert_eq!(reading.unread_until(1000), None, "the client resends what it sends meanwhile");
+    reading.record_write(1000, 100_000, SLOW_WRITE - 1);
+    assert_eq!(reading.unread_until(1000), Some(1000 + 150_000 - RESEND_WINDOW));
     assert!(!reading.is_slow(1000));
 }
 
 #[test]
 fn a_slow_client_is_behind_by_full_buffers_and_later_writes_up_to_a_limit() {
-    let reading = Reading::default();
-    reading.wrote(1000, 50_000, WAITED);
-    reading.wrote(1000, 50_000, 0);
+    let reading = ReadProgress::default();
+    reading.record_write(1000, 50_000, SLOW_WRITE);
+    reading.record_write(1000, 50_000, 0);
     assert!(reading.is_slow(1000));
-    let unread = PER_BYTE * (FULL_BUFFERS + 50_000);
-    assert_eq!(reading.reads_until(1000), Some(1000 + MARGIN * unread - CROSSES));
-    assert_eq!(reading.reads_until(1000 + unread), None);
-    reading.wrote(S, 10_000_000, 0);
-    assert_eq!(reading.reads_until(S), Some(S + MARGIN * PER_BYTE * MOST_UNREAD - CROSSES));
+    let unread = READ_TIME_PER_BYTE * (FULL_BUFFERS + 50_000);
+    assert_eq!(reading.unread_until(1000), Some(1000 + SLOW_READER_FACTOR * unread - RESEND_WINDOW));
+    assert_eq!(reading.unread_until(1000 + unread), None);
+    reading.record_write(S, 10_000_000, 0);
+    assert_eq!(
+        reading.unread_until(S),
+        Some(S + SLOW_READER_FACTOR * READ_TIME_PER_BYTE * MAX_UNREAD - RESEND_WINDOW)
+    );
 }
 
 /// State of a connection that owes nothing and whose client can't have read everything before `until`.
