--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -422,7 +422,7 @@
         }
         match (drained && !partial_message, make_room && !partial_message, idle) {
             (true, ..) => Some(CloseReason::Drained),
-            (_, true, _) => Some(CloseReason::Room),
+            (_, true, _) => Some(CloseReason::MakeRoom),
             (.., true) => Some(CloseReason::Idle),
             _ => None,
         }
--- a/silverspindle/src/invariant.rs
+++ b/silverspindle/src/invariant.rs
@@ -1,27 +1,28 @@
-//! What must hold: asserted in debug builds, counted in release builds.
+//! Invariants: asserted in debug builds; counted and logged in release builds.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-static BROKEN: AtomicU64 = AtomicU64::new(0);
+static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// How often something that must hold did not, since the start.
-pub fn broken() -> u64 {
-    BROKEN.load(Ordering::Relaxed)
+/// Number of invariant violations since the start of the process.
+pub fn violations() -> u64 {
+    VIOLATIONS.load(Ordering::Relaxed)
 }
 
-/// Counts one, and says so.
-pub fn count(what: &str) {
-    let times = BROKEN.fetch_add(1, Ordering::Relaxed) + 1;
+/// Counts and logs a violation of the invariant described by `what`.
+pub fn record_violation(what: &str) {
+    let times = VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1;
     tracing::error!("invariant broken ({times} in all): {what}");
 }
 
-/// Asserts in debug builds; in release builds counts and logs, and goes on.
+/// Checks an invariant: panics on a violation in debug builds; counts and logs it in release builds and
+/// continues.
 #[macro_export]
 macro_rules! invariant {
     ($holds:expr, $what:expr) => {
         if !$holds {
             debug_assert!(false, "invariant broken: {}", $what);
-            $crate::invariant::count($what);
+            $crate::invariant::record_violation($what);
         }
     };
 }
