--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -261,7 +261,7 @@
     }
 
     /// Removes a connection that has ended or is closing.
-    fn remove(&self, id: u64) {
+    fn remove_connection(&self, id: u64) {
         self.connections.borrow_mut().remove(&id);
         let _ = self.connection_ended.0.try_send(());
     }
@@ -347,9 +347,7 @@
                 }
             }
             // After the order to stop: no more connections than can have been queued, and no endless retries.
-            if queued_accepted.is_some_and(|accepted_count| {
-                accepted_count >= MAX_QUEUED || failed_accepts >= MAX_FAILED_ACCEPTS
-            }) {
+            if queued_accepted.is_some_and(|n| n >= MAX_QUEUED || failed_accepts >= MAX_FAILED_ACCEPTS) {
                 break;
             }
         }
--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -272,7 +272,7 @@
         // Whatever the reason for a close from this side, answers already written stay readable.
         let linger = reason != CloseReason::ClientLeft && stream.get_ref().shutdown(Shutdown::Write).is_ok();
         let must_end = linger.then(|| self.front.closing.add(self.id, self.last_written.get()));
-        self.front.remove(self.id);
+        self.front.remove_connection(self.id);
         self.answer_queue.close();
         // Unwritten answers no longer count.
         self.add_unwritten(-(self.unwritten_answers.get() as isize), -(self.unwritten_bytes.get() as isize));
--- a/silverspindle/src/front/request.rs
+++ b/silverspindle/src/front/request.rs
@@ -47,9 +47,9 @@
         };
         let number = |text: &str| text.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0);
         // Digits only, without a sign or blanks: the number passed on must be what the client wrote.
-        let integer = |name: &str, max: u64| match field(name)? {
+        let integer = |name: &str, highest: u64| match field(name)? {
             Some(text) if text.bytes().all(|b| b.is_ascii_digit()) => {
-                text.parse().ok().filter(|n: &u64| *n <= max)
+                text.parse().ok().filter(|n: &u64| *n <= highest)
             }
             Some(_) => None,
             None => Some(0),
