--- a/silverspindle/tests/actors.rs
+++ b/silverspindle/tests/actors.rs
@@ -21,9 +21,9 @@
 #[test]
 fn a_request_to_a_cache_names_the_fill_options() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
-        world.peer().send(PeerMessage::Send(world.attempt(1, "00000000000000a1"))).await.unwrap();
-        let (want, _) = world.cache.next().await;
+        let harness = ActorHarness::new(tasks, 9);
+        harness.peer().send(PeerMessage::Send(harness.attempt(1, "00000000000000a1"))).await.unwrap();
+        let (want, _) = harness.cache.next().await;
         // An age below one millisecond must not become 0, which would mean the class's fresh time.
         for (name, value) in [
             ("fetch", "s-00000002"),
@@ -48,15 +48,15 @@
     ];
     for tell in news {
         run(async |tasks| {
-            let world = ActorHarness::new(tasks, 9);
-            let peer = world.peer();
-            peer.try_send(PeerMessage::Send(world.attempt(1, "00000000000000a1"))).unwrap();
-            tell(&world.shared.state);
-            assert_eq!(world.end().await, (1, Status::Moot));
-            [PEER, SOURCE].into_iter().for_each(|id| world.shared.state.set_ready(id, true));
+            let harness = ActorHarness::new(tasks, 9);
+            let peer = harness.peer();
+            peer.try_send(PeerMessage::Send(harness.attempt(1, "00000000000000a1"))).unwrap();
+            tell(&harness.shared.state);
+            assert_eq!(harness.end().await, (1, Status::Moot));
+            [PEER, SOURCE].into_iter().for_each(|id| harness.shared.state.set_ready(id, true));
             // An attempt decided after the drain or purge is sent, and is the first thing that the cache reads.
-            peer.try_send(PeerMessage::Send(world.attempt(2, "00000000000000a2"))).unwrap();
-            assert_eq!(world.cache.next().await.0[1], "00000000000000a2");
+            peer.try_send(PeerMessage::Send(harness.attempt(2, "00000000000000a2"))).unwrap();
+            assert_eq!(harness.cache.next().await.0[1], "00000000000000a2");
         });
     }
 }
@@ -66,24 +66,24 @@
 #[test]
 fn an_id_is_used_once_on_a_connection() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
-        let peer = world.peer();
-        let first = world.attempt(1, "00000000000000a1");
+        let harness = ActorHarness::new(tasks, 9);
+        let peer = harness.peer();
+        let first = harness.attempt(1, "00000000000000a1");
         peer.send(PeerMessage::Send(first.clone())).await.unwrap();
-        let (_, one) = world.cache.next().await;
-        peer.send(PeerMessage::Send(world.attempt(2, "00000000000000a1"))).await.unwrap();
-        let (_, two) = world.cache.next().await;
+        let (_, one) = harness.cache.next().await;
+        peer.send(PeerMessage::Send(harness.attempt(2, "00000000000000a1"))).await.unwrap();
+        let (_, two) = harness.cache.next().await;
         first.abandoned.set(true);
         peer.send(PeerMessage::Abandon(first, false)).await.unwrap();
-        assert_eq!(world.cache.next().await.0[0], "never_mind");
-        peer.send(PeerMessage::Send(world.attempt(3, "00000000000000a1"))).await.unwrap();
-        let (_, three) = world.cache.next().await;
+        assert_eq!(harness.cache.next().await.0[0], "never_mind");
+        peer.send(PeerMessage::Send(harness.attempt(3, "00000000000000a1"))).await.unwrap();
+        let (_, three) = harness.cache.next().await;
         let ports: std::collections::BTreeSet<u16> = [&one, &two, &three].iter().map(|s| port(s)).collect();
         assert_eq!(ports.len(), 3);
         // A late answer to an abandoned attempt ends no other attempt.
         reply(&one, &["00000000000000a1", "HIT", NAMED, "old"]).await;
         reply(&two, &["00000000000000a1", "SHED", "-", ""]).await;
-        assert_eq!(world.end().await, (2, Status::Full));
+        assert_eq!(harness.end().await, (2, Status::Full));
     });
 }
 
@@ -92,21 +92,21 @@
 #[test]
 fn concurrent_attempts_use_separate_connections() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
-        let peer = world.peer();
-        let mut lines = Vec::new();
+        let harness = ActorHarness::new(tasks, 9);
+        let peer = harness.peer();
+        let mut connections = Vec::new();
         for ticket in 1..=3 {
-            peer.send(PeerMessage::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
-            lines.push(world.cache.next().await.1);
+            peer.send(PeerMessage::Send(harness.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
+            connections.push(harness.cache.next().await.1);
         }
-        (&*lines[1]).write_all(b"noise\r\n").await.unwrap();
-        assert_eq!(world.end().await, (2, Status::Reset));
-        reply(&lines[0], &[&format!("{:016x}", 1), "NONE", "-", ""]).await;
-        assert_eq!(world.end().await, (1, Status::Miss));
-        peer.send(PeerMessage::Send(world.attempt(4, &format!("{:016x}", 4)))).await.unwrap();
-        assert_eq!(port(&world.cache.next().await.1), port(&lines[0]));
-        reply(&lines[2], &[&format!("{:016x}", 3), "NONE", "-", ""]).await;
-        assert_eq!(world.end().await, (3, Status::Miss));
+        (&*connections[1]).write_all(b"noise\r\n").await.unwrap();
+        assert_eq!(harness.end().await, (2, Status::Reset));
+        reply(&connections[0], &[&format!("{:016x}", 1), "NONE", "-", ""]).await;
+        assert_eq!(harness.end().await, (1, Status::Miss));
+        peer.send(PeerMessage::Send(harness.attempt(4, &format!("{:016x}", 4)))).await.unwrap();
+        assert_eq!(port(&harness.cache.next().await.1), port(&connections[0]));
+        reply(&connections[2], &[&format!("{:016x}", 3), "NONE", "-", ""]).await;
+        assert_eq!(harness.end().await, (3, Status::Miss));
     });
 }
 
@@ -117,26 +117,28 @@
     run(async |tasks| {
         let mut options = settings();
         options["deductions"] = serde_json::json!({"handshake": 0.08});
-        let world = ActorHarness::with(tasks, 9, &options);
-        let peer = world.peer();
+        let harness = ActorHarness::with(tasks, 9, &options);
+        let peer = harness.peer();
         let mut ticket = 0;
         let mut pair = async || {
-            let mut lines = Vec::new();
+            let mut connections = Vec::new();
             for _ in 0..2 {
                 ticket += 1;
-                peer.send(PeerMessage::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
-                lines.push(world.cache.next().await.1);
+                peer.send(PeerMessage::Send(harness.attempt(ticket, &format!("{ticket:016x}"))))
+                    .await
+                    .unwrap();
+                connections.push(harness.cache.next().await.1);
             }
-            lines
+            connections
         };
         // Each break ends two attempts; after two breaks the third pair uses separate connections.
         for shared in [true, true, false] {
-            let lines = pair().await;
-            assert_eq!(port(&lines[0]) == port(&lines[1]), shared);
-            (&*lines[0]).write_all(b"noise\r\n").await.unwrap();
-            assert_eq!(world.end().await.1, Status::Reset);
+            let connections = pair().await;
+            assert_eq!(port(&connections[0]) == port(&connections[1]), shared);
+            (&*connections[0]).write_all(b"noise\r\n").await.unwrap();
+            assert_eq!(harness.end().await.1, Status::Reset);
             if shared {
-                assert_eq!(world.end().await.1, Status::Reset);
+                assert_eq!(harness.end().await.1, Status::Reset);
             }
         }
     });
@@ -145,15 +147,15 @@
 #[test]
 fn streams_per_connection_and_descriptors_are_limited() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 1);
-        let peer = world.peer();
+        let harness = ActorHarness::new(tasks, 1);
+        let peer = harness.peer();
         for ticket in 0..33 {
-            peer.send(PeerMessage::Send(world.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
+            peer.send(PeerMessage::Send(harness.attempt(ticket, &format!("{ticket:016x}")))).await.unwrap();
         }
         // The connection of the only descriptor is full, so the last attempt ends as never sent.
-        assert_eq!(world.end().await, (32, Status::Moot));
+        assert_eq!(harness.end().await, (32, Status::Moot));
         for _ in 0..32 {
-            world.cache.next().await;
+            harness.cache.next().await;
         }
     });
 }
@@ -163,22 +165,22 @@
 #[test]
 fn after_silence_new_attempts_use_a_new_connection() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
-        let peer = world.peer();
-        let first = world.attempt(1, "00000000000000a1");
+        let harness = ActorHarness::new(tasks, 9);
+        let peer = harness.peer();
+        let first = harness.attempt(1, "00000000000000a1");
         peer.send(PeerMessage::Send(first.clone())).await.unwrap();
-        let (_, one) = world.cache.next().await;
-        let other = world.attempt(9, "00000000000000a9");
+        let (_, one) = harness.cache.next().await;
+        let other = harness.attempt(9, "00000000000000a9");
         peer.send(PeerMessage::Send(other.clone())).await.unwrap();
-        let (_, idle) = world.cache.next().await;
+        let (_, idle) = harness.cache.next().await;
         other.abandoned.set(true);
         peer.send(PeerMessage::Abandon(other, false)).await.unwrap();
-        assert_eq!(world.cache.next().await.0[0], "never_mind");
+        assert_eq!(harness.cache.next().await.0[0], "never_mind");
         first.abandoned.set(true);
         peer.send(PeerMessage::Abandon(first, true)).await.unwrap();
-        assert_eq!(world.cache.next().await.0[0], "never_mind");
-        peer.send(PeerMessage::Send(world.attempt(2, "00000000000000a2"))).await.unwrap();
-        let (_, two) = world.cache.next().await;
+        assert_eq!(harness.cache.next().await.0[0], "never_mind");
+        peer.send(PeerMessage::Send(harness.attempt(2, "00000000000000a2"))).await.unwrap();
+        let (_, two) = harness.cache.next().await;
         assert!(![port(&one), port(&idle)].contains(&port(&two)));
     });
 }
@@ -189,21 +191,21 @@
     run(async |tasks| {
         let mut options = settings();
         options["limits"]["idle_close_ms"] = serde_json::json!(500.0);
-        let world = ActorHarness::with(tasks, 9, &options);
-        let peer = world.peer();
+        let harness = ActorHarness::with(tasks, 9, &options);
+        let peer = harness.peer();
         for ticket in 1..=2 {
-            peer.send(PeerMessage::Send(world.attempt(ticket, "00000000000000a1"))).await.unwrap();
+            peer.send(PeerMessage::Send(harness.attempt(ticket, "00000000000000a1"))).await.unwrap();
         }
-        let (one, two) = (world.cache.next().await.1, world.cache.next().await.1);
-        for line in [&one, &two] {
-            reply(line, &["00000000000000a1", "NONE", "-", ""]).await;
-            world.end().await;
+        let (one, two) = (harness.cache.next().await.1, harness.cache.next().await.1);
+        for connection in [&one, &two] {
+            reply(connection, &["00000000000000a1", "NONE", "-", ""]).await;
+            harness.end().await;
         }
-        while world.cache.closed.is_empty() {
-            peer.send(PeerMessage::Send(world.attempt(3, "00000000000000a1"))).await.unwrap();
-            let (_, line) = world.cache.next().await;
-            reply(&line, &["00000000000000a1", "NONE", "-", ""]).await;
-            world.end().await;
+        while harness.cache.closed.is_empty() {
+            peer.send(PeerMessage::Send(harness.attempt(3, "00000000000000a1"))).await.unwrap();
+            let (_, connection) = harness.cache.next().await;
+            reply(&connection, &["00000000000000a1", "NONE", "-", ""]).await;
+            harness.end().await;
         }
     });
 }
@@ -211,8 +213,8 @@
 #[test]
 fn each_answer_word_ends_the_attempt_with_its_status() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
-        let peer = world.peer();
+        let harness = ActorHarness::new(tasks, 9);
+        let peer = harness.peer();
         for (word, status) in [
             ("HIT", Status::Ok),
             ("NONE", Status::Miss),
@@ -220,10 +222,10 @@
             ("FAULT", Status::Error),
             ("LATE", Status::Moot),
         ] {
-            peer.send(PeerMessage::Send(world.attempt(5, "00000000000000a1"))).await.unwrap();
-            let (_, line) = world.cache.next().await;
-            reply(&line, &["00000000000000a1", word, &format!("why=dropped,{NAMED}"), ""]).await;
-            assert_eq!(world.end().await, (5, status), "{word}");
+            peer.send(PeerMessage::Send(harness.attempt(5, "00000000000000a1"))).await.unwrap();
+            let (_, connection) = harness.cache.next().await;
+            reply(&connection, &["00000000000000a1", word, &format!("why=dropped,{NAMED}"), ""]).await;
+            assert_eq!(harness.end().await, (5, status), "{word}");
         }
     });
 }
@@ -232,16 +234,16 @@
 #[test]
 fn a_slow_reader_is_cut_off() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
+        let harness = ActorHarness::new(tasks, 9);
         let (listener, address) = listen();
         let front =
-            Front::new(world.shared.site.clone(), world.shared.director.clone(), 3000, 64, Rc::default());
+            Front::new(harness.shared.site.clone(), harness.shared.director.clone(), 3000, 64, Rc::default());
         tasks.spawn(front.clone().accept(listener, tasks.clone())).detach();
         let (slow, good) = (Client::connect(tasks, address).await, Client::connect(tasks, address).await);
         slow.send(&serve(1, &page("00000000000000a1"), b"")).await;
-        let Message::Request { client: first, .. } = world.messages.recv().await.unwrap() else { panic!() };
+        let Message::Request { client: first, .. } = harness.messages.recv().await.unwrap() else { panic!() };
         good.send(&serve(7, &page("00000000000000a2"), b"")).await;
-        let Message::Request { client: handle, seq, .. } = world.messages.recv().await.unwrap() else {
+        let Message::Request { client: handle, seq, .. } = harness.messages.recv().await.unwrap() else {
             panic!()
         };
         handle.answer(seq, Verdict::Served(Bytes::from_static(b"small")));
@@ -257,8 +259,8 @@
 #[test]
 fn a_client_with_many_unread_answers_is_refused() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
-        let (front, address) = world.front(tasks, &Rc::default()).await;
+        let harness = ActorHarness::new(tasks, 9);
+        let (front, address) = harness.front(tasks, &Rc::default()).await;
         let client = Async::<std::net::TcpStream>::connect(address).await.unwrap();
         let ask = |seq: i32| {
             let rid = format!("{seq:016x}");
@@ -272,7 +274,7 @@
         while front.unwritten_bytes() < 1_500_000 {
             seq += 1;
             ask(seq);
-            let (handle, ..) = world.request().await;
+            let (handle, ..) = harness.request().await;
             handle.answer(seq, Verdict::Served(body.clone()));
             future::yield_now().await;
         }
@@ -286,7 +288,7 @@
         }
         assert_eq!(all.len(), seq as usize * served_answer(1, &body).len() + refused.len());
         ask(seq + 2);
-        let (_, again, _) = world.request().await;
+        let (_, again, _) = harness.request().await;
         assert_eq!(again, seq + 2, "accepted again once the client has read");
     });
 }
@@ -295,10 +297,15 @@
 #[test]
 fn writes_over_the_memory_limit_are_refused() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
+        let harness = ActorHarness::new(tasks, 9);
         let (listener, address) = listen();
-        let front =
-            Front::new(world.shared.site.clone(), world.shared.director.clone(), 8 * 150, 64, Rc::default());
+        let front = Front::new(
+            harness.shared.site.clone(),
+            harness.shared.director.clone(),
+            8 * 150,
+            64,
+            Rc::default(),
+        );
         tasks.spawn(front.accept(listener, tasks.clone())).detach();
         let client = Client::connect(tasks, address).await;
         let write = |seq| {
@@ -309,13 +316,13 @@
             serve(seq, &fields, &[7; 100])
         };
         client.send(&write(1)).await;
-        let first = world.messages.recv().await.unwrap();
+        let first = harness.messages.recv().await.unwrap();
         client.send(&write(2)).await;
         assert!(backoff_advice(&client.next().await.unwrap(), 2).is_some_and(|ms| ms > 0));
-        assert!(world.messages.is_empty());
+        assert!(harness.messages.is_empty());
         drop(first);
         client.send(&write(3)).await;
-        let Message::Request { seq: 3, .. } = world.messages.recv().await.unwrap() else { panic!() };
+        let Message::Request { seq: 3, .. } = harness.messages.recv().await.unwrap() else { panic!() };
     });
 }
 
@@ -323,11 +330,11 @@
 #[test]
 fn too_many_requests_are_refused_and_a_forget_behind_them_is_read() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
+        let harness = ActorHarness::new(tasks, 9);
         let (listener, address) = listen();
         let front = Front::new(
-            world.shared.site.clone(),
-            world.shared.director.clone(),
+            harness.shared.site.clone(),
+            harness.shared.director.clone(),
             192_000_000,
             64,
             Rc::default(),
@@ -347,15 +354,15 @@
         assert!(backoff_advice(&client.next().await.unwrap(), 65).is_some());
         let mut handles = Vec::new();
         for _ in 0..64 {
-            let Message::Request { client: handle, .. } = world.messages.recv().await.unwrap() else {
+            let Message::Request { client: handle, .. } = harness.messages.recv().await.unwrap() else {
                 panic!()
             };
             handles.push(handle);
         }
-        let Message::Forget { seq: 2, .. } = world.messages.recv().await.unwrap() else { panic!() };
+        let Message::Forget { seq: 2, .. } = harness.messages.recv().await.unwrap() else { panic!() };
         handles[0].answer(5, Verdict::Failed);
         assert_eq!(client.next().await.unwrap(), silverspindle::thrift::encode_broken(5));
         client.send(&request(66)).await;
-        let Message::Request { seq: 66, .. } = world.messages.recv().await.unwrap() else { panic!() };
+        let Message::Request { seq: 66, .. } = harness.messages.recv().await.unwrap() else { panic!() };
     });
 }
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -23,12 +23,12 @@
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
 const RID: &str = "9b1f03aa5c7e2d41";
-const OTHER: &str = "00000000000000a2";
-const THIRD: &str = "00000000000000a3";
+const OTHER_RID: &str = "00000000000000a2";
+const THIRD_RID: &str = "00000000000000a3";
 /// Buffer size requested for a socket with small buffers, in bytes; the kernel allocates twice as many.
 const SMALL_BUFFER: usize = 16 * 1024;
 
-fn drain() -> Rc<RefCell<Drain>> {
+fn serving_drain() -> Rc<RefCell<Drain>> {
     let drain: Rc<RefCell<Drain>> = Rc::default();
     drain.borrow_mut().started();
     drain
@@ -36,11 +36,11 @@
 
 /// Starts a drain long past its grace, so that connections that owe nothing may close, and requests that arrive are read
 /// and refused.
-fn drain_long_ago(drain: &Rc<RefCell<Drain>>) {
+fn start_old_drain(drain: &Rc<RefCell<Drain>>) {
     drain.borrow_mut().drain(clock::now() - 10 * GRACE);
 }
 
-fn answers(stream: &Async<TcpStream>) -> MessageReader<&Async<TcpStream>> {
+fn answer_reader(stream: &Async<TcpStream>) -> MessageReader<&Async<TcpStream>> {
     let measure: silverspindle::framing::Measure = |b| match b.first_chunk::<4>() {
         Some(length) => Ok(4 + u32::from_be_bytes(*length) as usize),
         None => Ok(4),
@@ -49,7 +49,7 @@
 }
 
 /// Lets all tasks run until the condition holds.
-async fn until(holds: impl Fn() -> bool) {
+async fn wait_until(holds: impl Fn() -> bool) {
     while !holds() {
         Timer::after(Duration::from_millis(1)).await;
     }
@@ -60,17 +60,17 @@
 #[test]
 fn a_request_in_the_socket_is_answered_before_the_close() {
     run(async |tasks| {
-        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
-        let (front, address) = world.front(tasks, &drain).await;
+        let (harness, drain) = (ActorHarness::new(tasks, 9), serving_drain());
+        let (front, address) = harness.front(tasks, &drain).await;
         let client = Async::<TcpStream>::connect(address).await.unwrap();
-        let mut read = answers(&client);
+        let mut read = answer_reader(&client);
         (&client).write_all(&serve(1, &page(RID), b"")).await.unwrap();
-        let (port, seq, _) = world.request().await;
-        port.answer(seq, Verdict::Served(Bytes::from_static(b"a")));
+        let (handle, seq, _) = harness.request().await;
+        handle.answer(seq, Verdict::Served(Bytes::from_static(b"a")));
         assert_eq!(read.next().await.unwrap().unwrap(), served_answer(1, b"a"));
-        drain_long_ago(&drain);
+        start_old_drain(&drain);
         // At the same time a close is asked for and a request lies in the socket.
-        client.get_ref().write_all(&serve(2, &page(OTHER), b"")).unwrap();
+        client.get_ref().write_all(&serve(2, &page(OTHER_RID), b"")).unwrap();
         front.close_releasable();
         let answer = read.next().await.unwrap().expect("an answer before the end");
         assert!(backoff_advice(&answer, 2).is_some(), "refused, so long after the drain");
@@ -83,15 +83,15 @@
 #[test]
 fn requests_after_the_shutdown_are_discarded_without_a_reset() {
     run(async |tasks| {
-        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
-        let (front, address) = world.front(tasks, &drain).await;
+        let (harness, drain) = (ActorHarness::new(tasks, 9), serving_drain());
+        let (front, address) = harness.front(tasks, &drain).await;
         let client = Async::<TcpStream>::connect(address).await.unwrap();
         (&client).write_all(&serve(1, &page(RID), b"")).await.unwrap();
-        let (port, seq, _) = world.request().await;
-        drain_long_ago(&drain);
-        port.answer(seq, Verdict::Served(Bytes::from(vec![7; 100_000])));
+        let (handle, seq, _) = harness.request().await;
+        start_old_drain(&drain);
+        handle.answer(seq, Verdict::Served(Bytes::from(vec![7; 100_000])));
         // The connection closes after its last answer; the client has read nothing yet.
-        until(|| front.connection_counts().0 == 0).await;
+        wait_until(|| front.connection_counts().0 == 0).await;
         for seq in 2..40 {
             let rid = format!("{seq:016x}");
             let mut fields: Vec<(&str, &str)> = page(RID);
@@ -104,8 +104,8 @@
         assert_eq!(all, served_answer(1, &[7; 100_000]));
         client.get_ref().shutdown(Shutdown::Both).unwrap();
         front.stop_accepting();
-        until(|| front.is_finished()).await;
-        while let Ok(message) = world.messages.try_recv() {
+        wait_until(|| front.is_finished()).await;
+        while let Ok(message) = harness.messages.try_recv() {
             assert!(
                 matches!(message, Message::Disconnected { .. }),
                 "sent on after the shutdown: {message:?}"
@@ -120,18 +120,18 @@
 #[test]
 fn half_a_message_behind_an_open_request_ends_only_its_own_connection() {
     run(async |tasks| {
-        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
-        let (_front, address) = world.front(tasks, &drain).await;
+        let (harness, drain) = (ActorHarness::new(tasks, 9), serving_drain());
+        let (_front, address) = harness.front(tasks, &drain).await;
         let half = Client::connect(tasks, address).await;
         half.send(&serve(1, &page(RID), b"")).await;
-        let (open, ..) = world.request().await;
-        half.send(&serve(2, &page(OTHER), b"")[..40]).await;
+        let (open, ..) = harness.request().await;
+        half.send(&serve(2, &page(OTHER_RID), b"")[..40]).await;
         assert_eq!(half.next().await, None);
         assert!(open.is_gone());
         let other = Client::connect(tasks, address).await;
-        other.send(&serve(1, &page(THIRD), b"")).await;
-        let (port, seq, _) = world.request().await;
-        port.answer(seq, Verdict::Failed);
+        other.send(&serve(1, &page(THIRD_RID), b"")).await;
+        let (handle, seq, _) = harness.request().await;
+        handle.answer(seq, Verdict::Failed);
         assert_eq!(other.next().await.unwrap(), thrift::encode_broken(1));
     });
 }
@@ -140,15 +140,15 @@
 #[test]
 fn a_closed_connection_waits_for_its_client_for_a_bounded_time() {
     run(async |tasks| {
-        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
-        let (front, address) = world.front(tasks, &drain).await;
+        let (harness, drain) = (ActorHarness::new(tasks, 9), serving_drain());
+        let (front, address) = harness.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
         assert!(client.is_well(1).await);
-        drain_long_ago(&drain);
+        start_old_drain(&drain);
         front.close_releasable();
         assert_eq!(client.next().await, None);
         front.stop_accepting();
-        until(|| front.is_finished()).await;
+        wait_until(|| front.is_finished()).await;
     });
 }
 
@@ -157,13 +157,13 @@
 #[test]
 fn the_exit_abandons_closed_connections_before_the_kill() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
+        let harness = ActorHarness::new(tasks, 9);
         let drain = Rc::new(RefCell::new(Drain::new().with_longest_deadline(0)));
         drain.borrow_mut().started();
-        let (front, address) = world.front(tasks, &drain).await;
+        let (front, address) = harness.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
         assert!(client.is_well(1).await);
-        drain_long_ago(&drain);
+        start_old_drain(&drain);
         front.close_releasable();
         assert_eq!(client.next().await, None);
         front.stop_accepting();
@@ -187,33 +187,33 @@
 #[test]
 fn the_exit_waits_for_a_request_that_waits_for_the_director() {
     run(async |tasks| {
-        let mut world = ActorHarness::new(tasks, 9);
+        let mut harness = ActorHarness::new(tasks, 9);
         let (director, ends) = async_channel::bounded(1);
         director.try_send(Message::PublishLimits).unwrap();
-        let shared = Rc::get_mut(&mut world.shared).unwrap();
-        (shared.director, world.messages) = (director, ends);
-        let drain = drain();
-        let (front, address) = world.front(tasks, &drain).await;
+        let shared = Rc::get_mut(&mut harness.shared).unwrap();
+        (shared.director, harness.messages) = (director, ends);
+        let drain = serving_drain();
+        let (front, address) = harness.front(tasks, &drain).await;
         let client = Client::connect(tasks, address).await;
         client.send(&serve(1, &page(RID), b"")).await;
-        until(|| front.connection_counts().1 == 1).await;
-        drain_long_ago(&drain);
+        wait_until(|| front.connection_counts().1 == 1).await;
+        start_old_drain(&drain);
         front.stop_accepting();
         front.close_releasable();
         // The director owes no answer and none waits to be written, but the request is not finished.
-        until(|| !world.messages.is_empty()).await;
+        wait_until(|| !harness.messages.is_empty()).await;
         for _ in 0..100 {
             future::yield_now().await;
         }
         drain.borrow_mut().end(clock::now());
         assert!(front.all_answers_written() && !front.is_finished());
         assert!(!drain.borrow().may_exit(clock::now(), 0, front.is_finished()));
-        assert!(matches!(world.messages.recv().await.unwrap(), Message::PublishLimits));
-        let (port, seq, _) = world.request().await;
-        port.answer(seq, Verdict::Failed);
+        assert!(matches!(harness.messages.recv().await.unwrap(), Message::PublishLimits));
+        let (handle, seq, _) = harness.request().await;
+        handle.answer(seq, Verdict::Failed);
         assert_eq!(client.next().await.unwrap(), thrift::encode_broken(1));
         assert_eq!(client.next().await, None);
-        until(|| front.is_finished()).await;
+        wait_until(|| front.is_finished()).await;
     });
 }
 
@@ -222,10 +222,10 @@
 #[test]
 fn the_exit_waits_for_connections_in_the_accept_queue() {
     run(async |tasks| {
-        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
-        let (front, address) = world.front(tasks, &drain).await;
+        let (harness, drain) = (ActorHarness::new(tasks, 9), serving_drain());
+        let (front, address) = harness.front(tasks, &drain).await;
         future::yield_now().await;
-        drain_long_ago(&drain);
+        start_old_drain(&drain);
         // All of this happens before the router runs again.
         let mut client = TcpStream::connect(address).unwrap();
         client.write_all(&serve(1, &page(RID), b"")).unwrap();
@@ -233,21 +233,21 @@
         assert!(!front.is_finished(), "a listener with a queue");
         // Within the time after SIGTERM in which all requests are taken.
         drain.borrow_mut().end(clock::now());
-        let (port, seq, _) = world.request().await;
+        let (handle, seq, _) = harness.request().await;
         assert!(!front.is_finished());
-        port.answer(seq, Verdict::Failed);
+        handle.answer(seq, Verdict::Failed);
         let client = Async::new(client).unwrap();
         let mut all = Vec::new();
         (&client).read_to_end(&mut all).await.unwrap();
         assert_eq!(all, thrift::encode_broken(1));
         drop(client);
-        until(|| front.is_finished()).await;
+        wait_until(|| front.is_finished()).await;
         assert!(TcpStream::connect(address).is_err(), "no connection is accepted afterwards");
     });
 }
 
 /// A client whose socket has a small receive buffer.
-async fn small_buffer_client(address: SocketAddr) -> Async<TcpStream> {
+async fn connect_with_small_buffer(address: SocketAddr) -> Async<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP)).unwrap();
     // Set before the TCP handshake, which negotiates the window.
     socket.set_recv_buffer_size(SMALL_BUFFER).unwrap();
@@ -266,12 +266,12 @@
     const LONGEST_SEGMENT: usize = 65_536;
     let unknown = "x".repeat(60_000);
     run(async |tasks| {
-        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
+        let (harness, drain) = (ActorHarness::new(tasks, 9), serving_drain());
         let (listener, address) = listen();
         SockRef::from(&listener).set_send_buffer_size(SMALL_BUFFER).unwrap();
         let buffer = SockRef::from(&listener).send_buffer_size().unwrap();
-        let front = world.front_at(tasks, &drain, listener);
-        let client = small_buffer_client(address).await;
+        let front = harness.front_at(tasks, &drain, listener);
+        let client = connect_with_small_buffer(address).await;
         let buffers = buffer + SockRef::from(&client).recv_buffer_size().unwrap();
         let mut replies = Vec::new();
         for seq in 1..=LONG_REPLIES {
@@ -284,9 +284,9 @@
         replies.extend(thrift::encode_answer("isWell", well, 0, &[], true).concat());
         // This request is read last, so everything before it has been read; it is dropped, so that it owes no answer.
         (&client).write_all(&serve(well + 1, &page(RID), b"")).await.unwrap();
-        let (port, ..) = world.request().await;
-        port.drop_request();
-        drain_long_ago(&drain);
+        let (handle, ..) = harness.request().await;
+        handle.drop_request();
+        start_old_drain(&drain);
         front.stop_accepting();
         for _ in 0..100 {
             front.close_releasable();
@@ -298,7 +298,7 @@
         (&client).read_to_end(&mut all).await.expect("every reply, then the end and no reset");
         assert!(all == replies, "{} bytes of {}", all.len(), replies.len());
         drop(client);
-        until(|| front.is_finished()).await;
+        wait_until(|| front.is_finished()).await;
     });
 }
 
@@ -307,8 +307,8 @@
 #[test]
 fn a_client_that_left_is_detected_before_its_reader_runs() {
     run(async |tasks| {
-        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
-        let (_front, address) = world.front(tasks, &drain).await;
+        let (harness, drain) = (ActorHarness::new(tasks, 9), serving_drain());
+        let (_front, address) = harness.front(tasks, &drain).await;
         let leave: [fn(&TcpStream); 3] = [
             |s| s.shutdown(Shutdown::Write).unwrap(),
             |s| {
@@ -320,18 +320,18 @@
                 SockRef::from(s).shutdown(Shutdown::Both).unwrap();
             },
         ];
-        for (leave, rid) in leave.into_iter().zip([RID, OTHER, THIRD]) {
+        for (leave, rid) in leave.into_iter().zip([RID, OTHER_RID, THIRD_RID]) {
             let client = Async::<TcpStream>::connect(address).await.unwrap();
             (&client).write_all(&serve(1, &page(rid), b"")).await.unwrap();
-            let port = loop {
-                let (port, _, call) = world.request().await;
+            let handle = loop {
+                let (handle, _, call) = harness.request().await;
                 if call.rid == rid {
-                    break port;
+                    break handle;
                 }
             };
-            assert!(!port.is_gone());
+            assert!(!handle.is_gone());
             leave(client.get_ref());
-            assert!(port.is_gone());
+            assert!(handle.is_gone());
         }
     });
 }
@@ -355,18 +355,18 @@
             let client = Client::connect(tasks, router.address).await;
             client.send(&serve(1, &page(RID), b"")).await;
             let next = || future::or(one.next(), two.next());
-            let (_, line) = next().await;
+            let (_, connection) = next().await;
             // The client leaves and the cache fails at the same time: the error is read together with the client's end.
             client.shutdown_write();
             let fault = silverspindle::resp::encode_array(&[RID.as_bytes(), b"FAULT", b"-", b""]);
-            line.get_ref().write_all(&fault).unwrap();
+            connection.get_ref().write_all(&fault).unwrap();
             let other = Client::connect(tasks, router.address).await;
-            other.send(&serve(1, &page(OTHER), b"")).await;
+            other.send(&serve(1, &page(OTHER_RID), b"")).await;
             let mut want = next().await.0;
             while want[0] == "never_mind" {
                 want = next().await.0;
             }
-            assert_eq!(want[1], OTHER, "nothing more for the client that left (cancelling {cancelling})");
+            assert_eq!(want[1], OTHER_RID, "nothing more for the client that left (cancelling {cancelling})");
             drop(coordinator);
         });
     }
@@ -389,10 +389,10 @@
         // All requests and the client's close are in the kernel's buffer before the router accepts.
         flood.shutdown(Shutdown::Write).unwrap();
         let client = Client::connect(tasks, router.address).await;
-        client.send(&serve(1, &page(OTHER), b"")).await;
-        let (want, line) = cache.next().await;
-        assert_eq!(want[1], OTHER, "no attempt for a client that had gone");
-        reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
+        client.send(&serve(1, &page(OTHER_RID), b"")).await;
+        let (want, connection) = cache.next().await;
+        assert_eq!(want[1], OTHER_RID, "no attempt for a client that had gone");
+        reply(&connection, &[OTHER_RID, "HIT", NAMED, "b"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(1, b"b"));
         let mut rest = Vec::new();
         let _ = flood.read_to_end(&mut rest);
@@ -422,8 +422,8 @@
         let before = open();
         let client = Client::connect(tasks, router.address).await;
         client.send(&serve(1, &page(RID), b"")).await;
-        let (_, line) = cache.next().await;
-        reply(&line, &[RID, "HIT", NAMED, "a"]).await;
+        let (_, connection) = cache.next().await;
+        reply(&connection, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         let coordinator = loop {
             match Async::<std::net::TcpListener>::bind(address) {
@@ -443,14 +443,14 @@
 #[test]
 fn a_client_is_not_cut_off_for_an_answer_that_has_just_become_ready() {
     run(async |tasks| {
-        let (world, drain) = (ActorHarness::new(tasks, 9), drain());
-        let (front, address) = world.front(tasks, &drain).await;
+        let (harness, drain) = (ActorHarness::new(tasks, 9), serving_drain());
+        let (front, address) = harness.front(tasks, &drain).await;
         let client = Async::<TcpStream>::connect(address).await.unwrap();
-        let mut read = answers(&client);
+        let mut read = answer_reader(&client);
         (&client).write_all(&serve(1, &page(RID), b"")).await.unwrap();
-        let (port, seq, _) = world.request().await;
-        drain_long_ago(&drain);
-        port.answer(seq, Verdict::Served(Bytes::from_static(b"late")));
+        let (handle, seq, _) = harness.request().await;
+        start_old_drain(&drain);
+        handle.answer(seq, Verdict::Served(Bytes::from_static(b"late")));
         // Before the writer runs.
         front.close_releasable();
         assert_eq!(read.next().await.unwrap().expect("an answer"), served_answer(1, b"late"));
--- a/silverspindle/tests/crossing_lists.rs
+++ b/silverspindle/tests/crossing_lists.rs
@@ -11,37 +11,37 @@
 use silverspindle::feed::Update;
 use silverspindle::steady::steady_now;
 
-struct Feed {
+struct FollowerHarness {
     listener: Async<std::net::TcpListener>,
-    news: async_channel::Receiver<Update>,
+    updates: async_channel::Receiver<Update>,
     moves: async_channel::Sender<SocketAddr>,
 }
 
 /// The actor that follows the list, with event 1 known, connected to a scripted coordinator.
-fn feed(tasks: &Tasks) -> Feed {
+fn start_follower(tasks: &Tasks) -> FollowerHarness {
     let (listener, address) = listen();
-    let (tell, news) = async_channel::bounded(64);
-    let (moves, moved) = async_channel::bounded(4);
-    let actor = Coordinator { address, last: 1, news: tell, moves: moved, gap: None };
+    let (sender, updates) = async_channel::bounded(64);
+    let (moves, moves_receiver) = async_channel::bounded(4);
+    let actor = Coordinator { address, last: 1, news: sender, moves: moves_receiver, gap: None };
     tasks.spawn(actor.run()).detach();
-    Feed { listener, news, moves }
+    FollowerHarness { listener, updates, moves }
 }
 
 /// The next connection, and the number of the last known event that it sends.
-async fn asked(listener: &Async<std::net::TcpListener>) -> (Async<std::net::TcpStream>, u64) {
+async fn accept_follower(listener: &Async<std::net::TcpListener>) -> (Async<std::net::TcpStream>, u64) {
     let mut stream = listener.accept().await.unwrap().0;
     let mut last = [0; 8];
     stream.read_exact(&mut last).await.unwrap();
     (stream, u64::from_be_bytes(last))
 }
 
-fn purge(index: u64) -> Vec<u8> {
+fn purge_event(index: u64) -> Vec<u8> {
     event(index, 4, &[17u16.to_be_bytes().as_slice(), &index.to_be_bytes()].concat())
 }
 
-async fn purged(feed: &Feed) -> u64 {
+async fn next_purge(feed: &FollowerHarness) -> u64 {
     loop {
-        match feed.news.recv().await.unwrap() {
+        match feed.updates.recv().await.unwrap() {
             Update::Purged { at, .. } => return at.as_micros() / 1000,
             Update::UpToDate => {}
             other => panic!("{other:?}"),
@@ -54,19 +54,19 @@
 #[test]
 fn a_gap_is_requested_again_and_accepted_the_second_time() {
     run(async |tasks| {
-        let feed = feed(tasks);
-        let (mut stream, last) = asked(&feed.listener).await;
+        let feed = start_follower(tasks);
+        let (mut stream, last) = accept_follower(&feed.listener).await;
         assert_eq!(last, 1);
-        stream.write_all(&purge(3)).await.unwrap();
-        let (mut stream, last) = asked(&feed.listener).await;
+        stream.write_all(&purge_event(3)).await.unwrap();
+        let (mut stream, last) = accept_follower(&feed.listener).await;
         assert_eq!(last, 1, "from the last that is known");
-        assert!(feed.news.is_empty(), "no event is delivered out of order");
-        stream.write_all(&[purge(2), purge(3), purge(6)].concat()).await.unwrap();
-        assert_eq!((purged(&feed).await, purged(&feed).await), (2, 3));
-        let (mut stream, last) = asked(&feed.listener).await;
+        assert!(feed.updates.is_empty(), "no event is delivered out of order");
+        stream.write_all(&[purge_event(2), purge_event(3), purge_event(6)].concat()).await.unwrap();
+        assert_eq!((next_purge(&feed).await, next_purge(&feed).await), (2, 3));
+        let (mut stream, last) = accept_follower(&feed.listener).await;
         assert_eq!(last, 3);
-        stream.write_all(&[purge(6), purge(7)].concat()).await.unwrap();
-        assert_eq!((purged(&feed).await, purged(&feed).await), (6, 7));
+        stream.write_all(&[purge_event(6), purge_event(7)].concat()).await.unwrap();
+        assert_eq!((next_purge(&feed).await, next_purge(&feed).await), (6, 7));
     });
 }
 
@@ -75,13 +75,13 @@
 #[test]
 fn connections_that_are_silent_from_the_start_are_replaced() {
     run(async |tasks| {
-        let feed = feed(tasks);
-        let (_one, _) = asked(&feed.listener).await;
-        let (_two, last) = asked(&feed.listener).await;
+        let feed = start_follower(tasks);
+        let (_one, _) = accept_follower(&feed.listener).await;
+        let (_two, last) = accept_follower(&feed.listener).await;
         assert_eq!(last, 1);
-        let (mut three, _) = asked(&feed.listener).await;
-        three.write_all(&purge(2)).await.unwrap();
-        assert_eq!(purged(&feed).await, 2);
+        let (mut three, _) = accept_follower(&feed.listener).await;
+        three.write_all(&purge_event(2)).await.unwrap();
+        assert_eq!(next_purge(&feed).await, 2);
     });
 }
 
@@ -89,13 +89,13 @@
 #[test]
 fn a_connection_that_breaks_after_every_connect_is_retried_with_backoff() {
     run(async |tasks| {
-        let feed = feed(tasks);
+        let feed = start_follower(tasks);
         let from = std::time::Instant::now();
         for _ in 0..5 {
-            drop(asked(&feed.listener).await);
+            drop(accept_follower(&feed.listener).await);
         }
         // The delays between them are at least 0, 50, 100, 200 and 400 ms.
-        drop(asked(&feed.listener).await);
+        drop(accept_follower(&feed.listener).await);
         assert!(from.elapsed().as_millis() >= 700);
     });
 }
@@ -105,27 +105,27 @@
 #[test]
 fn a_move_in_the_middle_of_a_frame_continues_after_the_last_complete_event() {
     run(async |tasks| {
-        let feed = feed(tasks);
-        let (mut stream, _) = asked(&feed.listener).await;
-        let half = &purge(3)[..10];
-        stream.write_all(&[&purge(2), half].concat()).await.unwrap();
-        assert_eq!(purged(&feed).await, 2);
+        let feed = start_follower(tasks);
+        let (mut stream, _) = accept_follower(&feed.listener).await;
+        let half = &purge_event(3)[..10];
+        stream.write_all(&[&purge_event(2), half].concat()).await.unwrap();
+        assert_eq!(next_purge(&feed).await, 2);
         let (next, address) = listen();
         // Of two moves at once the last one counts.
         let (other, there) = listen();
         feed.moves.try_send(there).unwrap();
         feed.moves.try_send(address).unwrap();
-        let (mut stream, last) = asked(&next).await;
+        let (mut stream, last) = accept_follower(&next).await;
         assert_eq!(last, 2);
-        stream.write_all(&purge(3)).await.unwrap();
-        assert_eq!(purged(&feed).await, 3);
+        stream.write_all(&purge_event(3)).await.unwrap();
+        assert_eq!(next_purge(&feed).await, 3);
         let none = async {
             other.accept().await.unwrap();
             let (stream, _) = other.accept().await.unwrap();
             drop(stream);
             panic!("still follows at the address before the last move")
         };
-        future::or(none, async { drop(asked(&next).await) }).await;
+        future::or(none, async { drop(accept_follower(&next).await) }).await;
     });
 }
 
@@ -133,15 +133,15 @@
 #[test]
 fn events_wait_in_order_while_the_mailbox_is_full() {
     run(async |tasks| {
-        let feed = feed(tasks);
-        let (mut stream, _) = asked(&feed.listener).await;
-        let all: Vec<u8> = (2..=200).flat_map(purge).collect();
+        let feed = start_follower(tasks);
+        let (mut stream, _) = accept_follower(&feed.listener).await;
+        let all: Vec<u8> = (2..=200).flat_map(purge_event).collect();
         stream.write_all(&all).await.unwrap();
-        while !feed.news.is_full() {
+        while !feed.updates.is_full() {
             future::yield_now().await;
         }
         for index in 2..=200 {
-            assert_eq!(purged(&feed).await, index);
+            assert_eq!(next_purge(&feed).await, index);
         }
     });
 }
@@ -168,18 +168,18 @@
 fn a_confirmation_that_lay_unread_counts_from_before_its_arrival() {
     run(async |tasks| {
         let (listener, address) = listen();
-        let (tell, told) = async_channel::bounded(64);
+        let (sender, received) = async_channel::bounded(64);
         let (_, moves) = async_channel::bounded(1);
-        let actor = Coordinator { address, last: 1, news: Timed(tell), moves, gap: None };
+        let actor = Coordinator { address, last: 1, news: Timed(sender), moves, gap: None };
         tasks.spawn(actor.run()).detach();
-        let (stream, _) = asked(&listener).await;
+        let (stream, _) = accept_follower(&listener).await;
         (&stream).write_all(&event(1, 0, b"")).await.unwrap();
         let began = steady_now();
-        assert!(told.recv().await.unwrap().after <= began);
+        assert!(received.recv().await.unwrap().after <= began);
         // Nothing else runs on this thread meanwhile.
         let came = steady_now();
         std::io::Write::write_all(&mut stream.get_ref(), &event(1, 0, b"")).unwrap();
         std::thread::sleep(std::time::Duration::from_millis(300));
-        assert!(told.recv().await.unwrap().after <= came);
+        assert!(received.recv().await.unwrap().after <= came);
     });
 }
--- a/silverspindle/tests/crossing_peers.rs
+++ b/silverspindle/tests/crossing_peers.rs
@@ -21,16 +21,16 @@
 use silverspindle::upstream::PeerMessage;
 
 const RID: &str = "9b1f03aa5c7e2d41";
-const OTHER: &str = "00000000000000a2";
+const OTHER_RID: &str = "00000000000000a2";
 
 /// A listener with a full accept queue: connections to it are established only after it is opened.
-struct Gate {
+struct DelayedListener {
     listener: TcpListener,
     filler: Vec<std::net::TcpStream>,
     address: SocketAddr,
 }
 
-impl Gate {
+impl DelayedListener {
     fn closed() -> Self {
         use socket2::{Domain, Socket, Type};
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
@@ -54,16 +54,16 @@
     }
 }
 
-fn slow_dials() -> serde_json::Value {
+fn long_connect_timeout() -> serde_json::Value {
     let mut options = settings();
     options["limits"]["connect_timeout_ms"] = json!(20_000.0);
     options
 }
 
 /// Whether nothing arrives on this connection until it ends or 300 ms have passed.
-async fn reads_nothing(line: &Async<std::net::TcpStream>) -> bool {
-    let mut line = line;
-    let read = async { line.read(&mut [0]).await.unwrap_or(0) == 0 };
+async fn reads_nothing(connection: &Async<std::net::TcpStream>) -> bool {
+    let mut connection = connection;
+    let read = async { connection.read(&mut [0]).await.unwrap_or(0) == 0 };
     future::or(read, async {
         Timer::after(Duration::from_millis(300)).await;
         true
@@ -75,25 +75,25 @@
 /// source may become unusable, or the attempt may be abandoned. It must not be written then.
 #[test]
 fn an_attempt_that_became_obsolete_while_connecting_is_never_written() {
-    let overtake: [fn(&ActorHarness, &Attempt); 4] = [
-        |world, _| world.client.gone.set(true),
+    let make_obsolete: [fn(&ActorHarness, &Attempt); 4] = [
+        |harness, _| harness.client.gone.set(true),
         |_, attempt| attempt.call.finished.set(true),
-        |world, _| world.shared.state.set_ready(SOURCE, false),
+        |harness, _| harness.shared.state.set_ready(SOURCE, false),
         |_, attempt| attempt.abandoned.set(true),
     ];
-    for (n, overtake) in overtake.into_iter().enumerate() {
+    for (n, make_obsolete) in make_obsolete.into_iter().enumerate() {
         run(async |tasks| {
-            let world = ActorHarness::with(tasks, 9, &slow_dials());
-            let gate = Gate::closed();
-            let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
-            let attempt = world.attempt(1, RID);
+            let harness = ActorHarness::with(tasks, 9, &long_connect_timeout());
+            let delayed = DelayedListener::closed();
+            let peer = silverspindle::upstream::Peer::start(PEER, delayed.address, &harness.shared);
+            let attempt = harness.attempt(1, RID);
             peer.send(PeerMessage::Send(attempt.clone())).await.unwrap();
             Timer::after(Duration::from_millis(20)).await;
-            overtake(&world, &attempt);
-            let line = gate.open().await;
-            assert!(reads_nothing(&line).await, "case {n}");
+            make_obsolete(&harness, &attempt);
+            let connection = delayed.open().await;
+            assert!(reads_nothing(&connection).await, "case {n}");
             if !attempt.abandoned.get() {
-                assert_eq!(world.end().await, (1, Status::Moot));
+                assert_eq!(harness.end().await, (1, Status::Moot));
             }
         });
     }
@@ -104,15 +104,15 @@
 #[test]
 fn a_repeat_is_not_written_after_its_window() {
     run(async |tasks| {
-        let world = ActorHarness::with(tasks, 9, &slow_dials());
-        let gate = Gate::closed();
-        let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
-        let mut attempt = Rc::into_inner(world.attempt(1, RID)).unwrap();
+        let harness = ActorHarness::with(tasks, 9, &long_connect_timeout());
+        let delayed = DelayedListener::closed();
+        let peer = silverspindle::upstream::Peer::start(PEER, delayed.address, &harness.shared);
+        let mut attempt = Rc::into_inner(harness.attempt(1, RID)).unwrap();
         attempt.write_by = clock::now();
         peer.send(PeerMessage::Send(Rc::new(attempt))).await.unwrap();
-        let line = gate.open().await;
-        assert!(reads_nothing(&line).await);
-        assert_eq!(world.end().await, (1, Status::Moot));
+        let connection = delayed.open().await;
+        assert!(reads_nothing(&connection).await);
+        assert_eq!(harness.end().await, (1, Status::Moot));
     });
 }
 
@@ -121,10 +121,10 @@
 #[test]
 fn the_director_keeps_a_repeat_within_its_window() {
     run(async |tasks| {
-        let (one, gate) = (Cache::start(tasks), Gate::closed());
+        let (one, delayed) = (Cache::start(tasks), DelayedListener::closed());
         let (_coordinator, address) = listen();
         let members =
-            [entry(1, "box", one.address), entry(2, "box", gate.address), entry(99, "origin", address)];
+            [entry(1, "box", one.address), entry(2, "box", delayed.address), entry(99, "origin", address)];
         let mut file = configuration(&members, address);
         file["settings"]["classes"][1]["window_ms"] = json!(400.0);
         file["settings"]["limits"]["connect_timeout_ms"] = json!(20_000.0);
@@ -134,7 +134,7 @@
         let client = Client::connect(tasks, router.address).await;
         // Some objects belong to the first cache by their hash; the first one that reaches it fails there.
         let mut seq = 0;
-        let line = loop {
+        let connection = loop {
             seq += 1;
             let id = format!("{seq:016x}");
             let mut fields: Vec<(&str, &str)> = page(RID);
@@ -146,16 +146,16 @@
                 Timer::after(Duration::from_millis(100)).await;
                 None
             };
-            if let Some(line) = future::or(found, not).await {
-                break line;
+            if let Some(connection) = future::or(found, not).await {
+                break connection;
             }
             client.send(&forget(seq)).await;
         };
-        reply(&line, &[&format!("{seq:016x}"), "FAULT", "-", ""]).await;
+        reply(&connection, &[&format!("{seq:016x}"), "FAULT", "-", ""]).await;
         // The repeat is decided within the window and waits for the second cache until the window has ended.
         Timer::after(Duration::from_millis(600)).await;
-        let line = gate.open().await;
-        assert!(reads_nothing(&line).await, "a repeat after its window");
+        let connection = delayed.open().await;
+        assert!(reads_nothing(&connection).await, "a repeat after its window");
         let answer = client.next().await.unwrap();
         assert!(answer == thrift::encode_broken(seq) || backoff_advice(&answer, seq).is_some());
     });
@@ -167,8 +167,8 @@
 fn an_attempt_at_a_cold_member_is_not_written_late() {
     for tries in [1, 8] {
         run(async |tasks| {
-            let (gate, (_coordinator, address)) = (Gate::closed(), listen());
-            let mut cold = entry(1, "box", gate.address);
+            let (delayed, (_coordinator, address)) = (DelayedListener::closed(), listen());
+            let mut cold = entry(1, "box", delayed.address);
             cold["up_since_ms"] = (clock::now() / 1000).into();
             let mut file = configuration(&[cold, entry(99, "origin", address)], address);
             file["settings"]["rules"]["cold_from"] = json!(0.5);
@@ -182,13 +182,13 @@
             let client = Client::connect(tasks, router.address).await;
             client.send(&serve(1, &page(RID), b"")).await;
             Timer::after(Duration::from_millis(300)).await;
-            let line = gate.open().await;
+            let connection = delayed.open().await;
             match tries {
                 1 => {
                     assert!(backoff_advice(&client.next().await.unwrap(), 1).is_some());
-                    assert!(reads_nothing(&line).await);
+                    assert!(reads_nothing(&connection).await);
                 }
-                _ => assert!(!reads_nothing(&line).await),
+                _ => assert!(!reads_nothing(&connection).await),
             }
         });
     }
@@ -199,20 +199,20 @@
 #[test]
 fn an_attempt_follows_its_member_to_a_new_address() {
     run(async |tasks| {
-        let world = ActorHarness::with(tasks, 9, &slow_dials());
-        let gate = Gate::closed();
-        let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
-        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
+        let harness = ActorHarness::with(tasks, 9, &long_connect_timeout());
+        let delayed = DelayedListener::closed();
+        let peer = silverspindle::upstream::Peer::start(PEER, delayed.address, &harness.shared);
+        peer.send(PeerMessage::Send(harness.attempt(1, RID))).await.unwrap();
         Timer::after(Duration::from_millis(20)).await;
-        peer.send(PeerMessage::Address(world.cache.address, 5)).await.unwrap();
+        peer.send(PeerMessage::Address(harness.cache.address, 5)).await.unwrap();
         // An older version that arrives late is ignored.
-        peer.send(PeerMessage::Address(gate.address, 4)).await.unwrap();
-        let (want, line) = world.cache.next().await;
+        peer.send(PeerMessage::Address(delayed.address, 4)).await.unwrap();
+        let (want, connection) = harness.cache.next().await;
         assert_eq!(want[1], RID);
-        reply(&line, &[RID, "NONE", "-", ""]).await;
-        assert_eq!(world.end().await, (1, Status::Miss));
-        peer.send(PeerMessage::Send(world.attempt(2, OTHER))).await.unwrap();
-        assert_eq!(world.cache.next().await.0[1], OTHER);
+        reply(&connection, &[RID, "NONE", "-", ""]).await;
+        assert_eq!(harness.end().await, (1, Status::Miss));
+        peer.send(PeerMessage::Send(harness.attempt(2, OTHER_RID))).await.unwrap();
+        assert_eq!(harness.cache.next().await.0[1], OTHER_RID);
     });
 }
 
@@ -221,15 +221,15 @@
 #[test]
 fn a_retired_peer_reports_the_end_of_every_attempt() {
     run(async |tasks| {
-        let world = ActorHarness::with(tasks, 9, &slow_dials());
-        let gate = Gate::closed();
-        let peer = silverspindle::upstream::Peer::start(PEER, gate.address, &world.shared);
-        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
+        let harness = ActorHarness::with(tasks, 9, &long_connect_timeout());
+        let delayed = DelayedListener::closed();
+        let peer = silverspindle::upstream::Peer::start(PEER, delayed.address, &harness.shared);
+        peer.send(PeerMessage::Send(harness.attempt(1, RID))).await.unwrap();
         Timer::after(Duration::from_millis(20)).await;
         peer.try_send(PeerMessage::Retire).unwrap();
-        peer.try_send(PeerMessage::Send(world.attempt(2, OTHER))).unwrap();
-        assert_eq!(world.end().await, (1, Status::Moot));
-        assert_eq!(world.end().await, (2, Status::Moot));
+        peer.try_send(PeerMessage::Send(harness.attempt(2, OTHER_RID))).unwrap();
+        assert_eq!(harness.end().await, (1, Status::Moot));
+        assert_eq!(harness.end().await, (2, Status::Moot));
         while !peer.is_closed() {
             future::yield_now().await;
         }
@@ -285,9 +285,9 @@
         assert_ne!(port(&first), port(&second));
         reply(&first, &[RID, "HIT", NAMED, "spoilt"]).await;
         // The answer to another request, sent after it, proves that it was read.
-        client.send(&serve(2, &page(OTHER), b"")).await;
-        let (_, line) = cache.next().await;
-        reply(&line, &[OTHER, "HIT", NAMED, "b"]).await;
+        client.send(&serve(2, &page(OTHER_RID), b"")).await;
+        let (_, connection) = cache.next().await;
+        reply(&connection, &[OTHER_RID, "HIT", NAMED, "b"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(2, b"b"));
         reply(&second, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
@@ -305,10 +305,10 @@
         holder.push(("cached", "aaaaaaaaaaaaaaaa"));
         client.send(&serve(1, &holder, b"")).await;
         let next = || future::or(one.next(), two.next());
-        let (_, line) = next().await;
-        reply(&line, &[RID, "VALID", NAMED, ""]).await;
-        let (_, line) = next().await;
-        reply(&line, &[RID, "HIT", NAMED, "a"]).await;
+        let (_, connection) = next().await;
+        reply(&connection, &[RID, "VALID", NAMED, ""]).await;
+        let (_, connection) = next().await;
+        reply(&connection, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
@@ -322,19 +322,19 @@
         for class in options["classes"].as_array_mut().unwrap() {
             class["deadline_ms"] = json!(500.0);
         }
-        let world = ActorHarness::with(tasks, 9, &options);
-        let peer = world.peer();
-        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
-        let (_, line) = world.cache.next().await;
+        let harness = ActorHarness::with(tasks, 9, &options);
+        let peer = harness.peer();
+        peer.send(PeerMessage::Send(harness.attempt(1, RID))).await.unwrap();
+        let (_, connection) = harness.cache.next().await;
         let head = format!("*4\r\n$16\r\n{RID}\r\n$3\r\nHIT\r\n$19\r\nversion=aa,stamp=11\r\n$200000\r\n");
-        (&*line).write_all(head.as_bytes()).await.unwrap();
+        (&*connection).write_all(head.as_bytes()).await.unwrap();
         let trickle = async {
-            while (&*line).write_all(b"x").await.is_ok() {
+            while (&*connection).write_all(b"x").await.is_ok() {
                 Timer::after(Duration::from_millis(50)).await;
             }
             future::pending::<()>().await
         };
-        let end = future::or(async { Some(world.end().await) }, async {
+        let end = future::or(async { Some(harness.end().await) }, async {
             trickle.await;
             None
         });
@@ -348,16 +348,16 @@
     run(async |tasks| {
         let mut options = settings();
         options["limits"]["idle_close_ms"] = json!(600.0);
-        let world = ActorHarness::with(tasks, 9, &options);
-        let peer = world.peer();
-        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
-        let (_, one) = world.cache.next().await;
+        let harness = ActorHarness::with(tasks, 9, &options);
+        let peer = harness.peer();
+        peer.send(PeerMessage::Send(harness.attempt(1, RID))).await.unwrap();
+        let (_, one) = harness.cache.next().await;
         reply(&one, &[RID, "NONE", "-", ""]).await;
-        assert_eq!(world.end().await, (1, Status::Miss));
+        assert_eq!(harness.end().await, (1, Status::Miss));
         // No task runs meanwhile, nor does the sweep; the attempt is in the mailbox when the actor runs again.
         std::thread::sleep(Duration::from_millis(400));
-        peer.try_send(PeerMessage::Send(world.attempt(2, OTHER))).unwrap();
-        let (_, two) = world.cache.next().await;
+        peer.try_send(PeerMessage::Send(harness.attempt(2, OTHER_RID))).unwrap();
+        let (_, two) = harness.cache.next().await;
         assert_ne!(port(&one), port(&two));
     });
 }
@@ -368,17 +368,17 @@
 fn attempts_behind_a_full_socket_are_checked_when_they_are_written() {
     run(async |tasks| {
         let (listener, address) = listen();
-        let world = ActorHarness::new(tasks, 1);
-        let peer = silverspindle::upstream::Peer::start(PEER, address, &world.shared);
+        let harness = ActorHarness::new(tasks, 1);
+        let peer = silverspindle::upstream::Peer::start(PEER, address, &harness.shared);
         let write = |ticket: u64, size: usize| {
-            let mut attempt = Rc::into_inner(world.attempt(ticket, &format!("{ticket:016x}"))).unwrap();
+            let mut attempt = Rc::into_inner(harness.attempt(ticket, &format!("{ticket:016x}"))).unwrap();
             Rc::get_mut(&mut attempt.call).unwrap().body = Bytes::from(vec![b'x'; size]);
             Rc::new(attempt)
         };
         // One connection that the cache does not read, and far more bytes than both sockets hold.
         let big = write(1, 16_000_000);
         peer.send(PeerMessage::Send(big.clone())).await.unwrap();
-        let (line, _) = listener.accept().await.unwrap();
+        let (connection, _) = listener.accept().await.unwrap();
         while !big.written.get() {
             future::yield_now().await;
         }
@@ -394,14 +394,14 @@
         let mut buffer = vec![0; 1 << 16];
         let last = format!("{:016x}", 5);
         while !String::from_utf8_lossy(&all[all.len().saturating_sub(4096)..]).contains(&last) {
-            let n = (&line).read(&mut buffer).await.unwrap();
+            let n = (&connection).read(&mut buffer).await.unwrap();
             all.extend_from_slice(&buffer[..n]);
         }
         let tail = String::from_utf8_lossy(&all[all.len().saturating_sub(4096)..]).into_owned();
         for (ticket, goes) in [(2, false), (3, false), (4, true), (5, true)] {
             assert_eq!(tail.contains(&format!("{ticket:016x}")), goes, "{ticket}");
         }
-        assert_eq!(world.end().await, (3, Status::Moot));
+        assert_eq!(harness.end().await, (3, Status::Moot));
     });
 }
 
@@ -410,16 +410,16 @@
 #[test]
 fn a_connection_with_a_malformed_answer_is_closed_before_its_ends_are_reported() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
-        let peer = world.peer();
-        peer.send(PeerMessage::Send(world.attempt(1, RID))).await.unwrap();
-        let (_, line) = world.cache.next().await;
-        reply(&line, &[RID, "PONG", "-", ""]).await;
-        assert_eq!(world.end().await, (1, Status::Reset));
+        let harness = ActorHarness::new(tasks, 9);
+        let peer = harness.peer();
+        peer.send(PeerMessage::Send(harness.attempt(1, RID))).await.unwrap();
+        let (_, connection) = harness.cache.next().await;
+        reply(&connection, &[RID, "PONG", "-", ""]).await;
+        assert_eq!(harness.end().await, (1, Status::Reset));
         // No other task has run since the end was reported.
         let mut byte = [0];
-        let closed = matches!(line.get_ref().peek(&mut byte), Ok(0) | Err(_))
-            && !matches!(line.get_ref().peek(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
+        let closed = matches!(connection.get_ref().peek(&mut byte), Ok(0) | Err(_))
+            && !matches!(connection.get_ref().peek(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
         assert!(closed);
     });
 }
@@ -429,14 +429,14 @@
 #[test]
 fn an_attempt_not_written_on_one_connection_but_on_another_is_not_reported_as_never_sent() {
     run(async |tasks| {
-        let world = ActorHarness::new(tasks, 9);
-        let peer = world.peer();
-        let attempt = world.attempt(1, RID);
+        let harness = ActorHarness::new(tasks, 9);
+        let peer = harness.peer();
+        let attempt = harness.attempt(1, RID);
         peer.send(PeerMessage::Send(attempt.clone())).await.unwrap();
-        let (_, line) = world.cache.next().await;
+        let (_, connection) = harness.cache.next().await;
         let left_before = attempt.connection.get() + 1;
         peer.send(PeerMessage::NotWritten(left_before, attempt)).await.unwrap();
-        reply(&line, &[RID, "FAULT", "-", ""]).await;
-        assert_eq!(world.end().await, (1, Status::Error));
+        reply(&connection, &[RID, "FAULT", "-", ""]).await;
+        assert_eq!(harness.end().await, (1, Status::Error));
     });
 }
--- a/silverspindle/tests/failing_calls.rs
+++ b/silverspindle/tests/failing_calls.rs
@@ -21,11 +21,11 @@
 
 const RID: &str = "9b1f03aa5c7e2d41";
 /// Number of requests while connects fail: a cache that was blamed for this many failures would be set aside.
-const FAILING: i32 = 20;
+const REQUESTS_WHILE_FAILING: i32 = 20;
 /// Interval between snapshots in these tests.
 const SNAPSHOT_EVERY: Duration = Duration::from_secs(1);
 /// Duration of a failure.
-const A_WHILE: Duration = Duration::from_millis(500);
+const FAILURE_TIME: Duration = Duration::from_millis(500);
 
 /// A router with one cache that answers at once.
 async fn start(tasks: &Tasks) -> (Router, FailingCalls, (tempfile::TempDir, Async<std::net::TcpListener>)) {
@@ -75,7 +75,7 @@
         for (seq, (call, error)) in (1..).zip(faults) {
             calls.fail(call, Some(error.raw_os_error())).unwrap();
             // Long enough for two failed snapshots.
-            Timer::after(2 * SNAPSHOT_EVERY + A_WHILE).await;
+            Timer::after(2 * SNAPSHOT_EVERY + FAILURE_TIME).await;
             assert!(matches!(read(), Ok(Some(_))), "{error}: the last snapshot is intact");
             let (rid, object) = (format!("{seq:016x}"), format!("{:016x}", seq * 7919));
             let mut fields: Vec<(&str, &str)> = page("");
@@ -93,7 +93,7 @@
                 }
             }
         }
-        let log = end(router);
+        let log = shut_down(router);
         let count = |text: &str| log.iter().filter(|line| line.contains(text)).count();
         assert_eq!(count("the last snapshot is kept"), faults.len(), "{log:?}");
         assert_eq!(count("snapshots are written again"), faults.len(), "{log:?}");
@@ -101,7 +101,7 @@
 }
 
 /// Ends the router and returns its log.
-fn end(mut router: Router) -> Vec<String> {
+fn shut_down(mut router: Router) -> Vec<String> {
     let pid = router.child.id().to_string();
     assert!(Command::new("kill").arg(pid).status().unwrap().success());
     let lines = std::mem::replace(&mut router.lines, Box::new(std::iter::empty())).collect();
@@ -120,14 +120,14 @@
             let client = Rc::new(Client::connect(tasks, router.clients).await);
             client.send(&serve(1, &page(RID), b"")).await;
             let before = used(router.child.id()).unwrap();
-            Timer::after(A_WHILE).await;
+            Timer::after(FAILURE_TIME).await;
             let spent = used(router.child.id()).unwrap() - before;
             // The kernel does not return these two errors repeatedly, so the router is right to retry at once.
             assert!(aborted || spent < 100_000, "{error}: {spent} us of processor time");
             calls.fail(SystemCall::Accept, None).unwrap();
             let answer = client.next().await.expect("an answer");
             assert!(answer.len() > 1000, "{error}: served");
-            let log = end(router);
+            let log = shut_down(router);
             let said = log.iter().filter(|line| line.contains("front: accept: ")).count();
             assert_eq!(said, usize::from(!aborted), "{error}: {log:?}");
             let management = log.iter().filter(|line| line.contains("management accept: ")).count();
@@ -155,11 +155,11 @@
         let mut fields = page(RID);
         fields[2].1 = "5000";
         client.send(&serve(1, &fields, b"")).await;
-        Timer::after(A_WHILE).await;
+        Timer::after(FAILURE_TIME).await;
         calls.fail(SystemCall::Accept, None).unwrap();
         let (want, _) = cache.next().await;
         let ttl: u64 = field(&want, "ttl").unwrap().parse().unwrap();
-        assert!(ttl <= BUDGET - A_WHILE.as_millis() as u64 + SLACK, "{ttl} ms");
+        assert!(ttl <= BUDGET - FAILURE_TIME.as_millis() as u64 + SLACK, "{ttl} ms");
     });
 }
 
@@ -175,7 +175,7 @@
         let pid = router.child.id().to_string();
         assert!(Command::new("kill").arg(pid).status().unwrap().success());
         // The listener closes when no more clients are expected; accepts have been failing for a while by then.
-        Timer::after(Duration::from_micros(ARRIVAL_WINDOW) + A_WHILE).await;
+        Timer::after(Duration::from_micros(ARRIVAL_WINDOW) + FAILURE_TIME).await;
         calls.fail(SystemCall::Accept, None).unwrap();
         let answer = client.next().await.expect("an answer");
         assert!(backoff_advice(&answer, 1).is_some(), "refused: it could not be answered before the kill");
@@ -198,7 +198,7 @@
         let pid = Some(Pid::from_child(&router.child));
         let none = Rlimit { current: Some(3), maximum: getrlimit(Resource::Nofile).maximum };
         let usual = prlimit(pid, Resource::Nofile, none).unwrap();
-        for seq in 1..=FAILING {
+        for seq in 1..=REQUESTS_WHILE_FAILING {
             let (rid, object) = (format!("{seq:016x}"), format!("{:016x}", seq * 7919));
             let mut fields: Vec<(&str, &str)> = page("");
             (fields[1].1, fields[2].1, fields[3].1) = (&rid, "900", &object);
@@ -207,10 +207,10 @@
             assert!(backoff_advice(&answer, seq).is_some(), "refused: it never ran");
         }
         prlimit(pid, Resource::Nofile, usual).unwrap();
-        client.send(&serve(FAILING + 1, &page(RID), b"")).await;
+        client.send(&serve(REQUESTS_WHILE_FAILING + 1, &page(RID), b"")).await;
         let answer = client.next().await.expect("an answer");
         assert!(answer.len() > 1000, "served");
-        let log = end(router);
+        let log = shut_down(router);
         let blames = ["set aside", "connect_failed="];
         assert_eq!(log.iter().find(|line| blames.iter().any(|blame| line.contains(blame))), None);
     });
--- a/silverspindle/tests/front_times.rs
+++ b/silverspindle/tests/front_times.rs
@@ -56,7 +56,7 @@
 }
 
 /// State of a connection that owes nothing and whose client can't have read everything before `until`.
-fn behind(until: Micros) -> ConnectionState {
+fn slow_reader_state(until: Micros) -> ConnectionState {
     let (open, unwritten, last_request) = (0, 0, Some(10 * S));
     let (unread_until, slow_reader) = (Some(until), true);
     ConnectionState {
@@ -76,14 +76,14 @@
     drain.started();
     drain.drain(10 * S);
     let by = 10 * S + 2 * S;
-    assert_eq!(drain.hold_reason(10 * S + GRACE, behind(by)), Some(HoldReason::UnreadAnswers));
-    let refused = drain.refusal(10 * S + GRACE, 20 * S, behind(by));
+    assert_eq!(drain.hold_reason(10 * S + GRACE, slow_reader_state(by)), Some(HoldReason::UnreadAnswers));
+    let refused = drain.refusal(10 * S + GRACE, 20 * S, slow_reader_state(by));
     assert_eq!(refused, Some(RefusalReason::Draining));
-    let fast = ConnectionState { slow_reader: false, ..behind(by) };
+    let fast = ConnectionState { slow_reader: false, ..slow_reader_state(by) };
     assert_eq!(drain.refusal(10 * S + GRACE, 20 * S, fast), None, "held open, and its requests are served");
-    assert!(drain.may_close(by, behind(by)));
+    assert!(drain.may_close(by, slow_reader_state(by)));
     assert!(
-        drain.may_close(10 * S + FORCED_ANSWER_AFTER, behind(60 * S)),
+        drain.may_close(10 * S + FORCED_ANSWER_AFTER, slow_reader_state(60 * S)),
         "the drain's deadline has priority"
     );
 }
@@ -94,6 +94,6 @@
     drain.started();
     drain.end(10 * S);
     let kill = 10 * S + 2 * S + ARRIVAL_WINDOW;
-    assert!(!drain.may_close(kill - KILL_MARGIN - 1, behind(60 * S)));
-    assert!(drain.may_close(kill - KILL_MARGIN, behind(60 * S)));
+    assert!(!drain.may_close(kill - KILL_MARGIN - 1, slow_reader_state(60 * S)));
+    assert!(drain.may_close(kill - KILL_MARGIN, slow_reader_state(60 * S)));
 }
