--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -119,6 +119,7 @@
     cold: BTreeMap<Micros, f64>,
 }
 
+/// Directors, members and the pending events of a simulation.
 struct Sim {
     settings: Settings,
     fault: Fault,
@@ -175,6 +176,7 @@
         self.queue.insert((self.now.max(100 * S) + after, self.seq), step);
     }
 
+    /// Time since the start of the simulation.
     fn elapsed(&self) -> Micros {
         self.now - 100 * S
     }
@@ -255,6 +257,7 @@
         }
     }
 
+    /// Status with which an attempt to the member fails at this time, if the fault affects it.
     fn failure(&self, member: u64) -> Option<Status> {
         let during = (FAULT_START..FAULT_END).contains(&self.elapsed());
         match self.fault {
@@ -276,6 +279,7 @@
         }
     }
 
+    /// Records a final answer and checks that it is the only one of its request.
     fn answer(&mut self, router: usize, id: u128) {
         let since = self.elapsed();
         let answers = self.results.answers.entry((router, id)).or_default();
@@ -286,11 +290,11 @@
     fn act(&mut self, router: usize, action: Action) {
         match action {
             Action::Fetch { id, member, until, source, max_age, .. } => {
-                self.age(router, id.0, max_age);
+                self.check_max_age(router, id.0, max_age);
                 self.send(router, id.0, member.0, source.0, until, None);
             }
             Action::Lookup { id, member, until } => {
-                self.age(router, id.0, None);
+                self.check_max_age(router, id.0, None);
                 self.send(router, id.0, member.0, member.0, until, Some(()));
             }
             Action::Cancel { id, attempt } => {
@@ -327,7 +331,7 @@
 
     /// From the end of the purge's grace period until all older copies are dropped, an attempt must have a maximum age
     /// that excludes them.
-    fn age(&self, router: usize, id: u128, max_age: Option<Micros>) {
+    fn check_max_age(&self, router: usize, id: u128, max_age: Option<Micros>) {
         let Settings { purge_grace, purge_complete_within, .. } = self.settings;
         let concerned = self.fault == Fault::Purge && self.purged.contains(&(router, id));
         if concerned
@@ -342,7 +346,8 @@
         }
     }
 
-    fn send(&mut self, router: usize, id: u128, member: u64, source: u64, until: Micros, look: Option<()>) {
+    /// Checks an attempt against the rules and schedules its outcome.
+    fn send(&mut self, router: usize, id: u128, member: u64, source: u64, until: Micros, lookup: Option<()>) {
         let key = (router, id);
         let until = if until == 0 { self.deadlines[&key] } else { until.min(self.deadlines[&key]) };
         let attempts = self.attempts.entry(key).or_default();
@@ -379,7 +384,7 @@
         let (status, after, note) = match self.failure(member) {
             Some(Status::Timeout) => (Status::Timeout, until.saturating_sub(self.now), None),
             Some(status) => (status, 5 * MS, None),
-            None if look.is_some() && !kept => (Status::Miss, 4 * MS, None),
+            None if lookup.is_some() && !kept => (Status::Miss, 4 * MS, None),
             None if source != member && parent_gone => (Status::Full, 8 * MS, Some(Note::SourceUnreachable)),
             None if source == member => (Status::Ok, 6 * MS, Some(Note::Hit)),
             None => (Status::Ok, 60 * MS, Some(Note::Filled)),
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -15,17 +15,20 @@
     }
 }
 
+/// State of a request as the test tracks it.
 #[derive(Default)]
 struct Case {
     in_flight: Vec<(u32, MemberId, bool)>,
     sent: u32,
     answers: u32,
+    /// Index of its idempotency: 0 idempotent, 1 deduplicated, 2 at most once.
     kind: usize,
     may_have_run: bool,
     group: u64,
     valid_until: Micros,
 }
 
+/// Plays a random sequence of events, checks the rules after each and returns all actions.
 fn run(seed: u64) -> Vec<Action> {
     let mut rng = Rng(seed);
     let kinds = [Idempotency::Idempotent, Idempotency::Deduplicated, Idempotency::AtMostOnce];
