--- a/silverspindle/tests/common/office.rs
+++ b/silverspindle/tests/common/office.rs
@@ -22,6 +22,7 @@
         Self(folder)
     }
 
+    /// Paths of a router's files.
     pub fn files(&self, name: &str) -> Files {
         let file = |name: String| self.0.join(name);
         Files {
@@ -31,6 +32,7 @@
         }
     }
 
+    /// Operators' file of a router with its keys and further directives.
     pub fn conf(&self, name: &str, more: &str) -> Conf {
         let Files { authority, certificate, key } = self.files(name);
         let text = format!(
--- a/silverspindle/tests/common/world.rs
+++ b/silverspindle/tests/common/world.rs
@@ -18,7 +18,9 @@
 
 use super::*;
 
+/// The member whose actor is under test.
 pub const PEER: MemberId = MemberId(1);
+/// The source of the fills that the test's attempts ask for.
 pub const SOURCE: MemberId = MemberId(2);
 
 /// A client that waits for its answers until the test marks it as gone.
@@ -41,6 +43,7 @@
 /// Surroundings of the actor under test.
 pub struct ActorHarness {
     pub shared: Rc<Shared>,
+    /// Messages to the director.
     pub messages: async_channel::Receiver<Message>,
     pub cache: Cache,
     /// The client that waits for the attempts of this test.
@@ -52,6 +55,7 @@
         Self::with(tasks, descriptors, &settings())
     }
 
+    /// As [`Self::new`], with these settings.
     pub fn with(tasks: &Tasks, descriptors: usize, options: &serde_json::Value) -> Self {
         let (director, messages) = async_channel::bounded(1024);
         let site = Rc::new(SiteSettings::parse(options.as_object().unwrap()));
@@ -62,10 +66,12 @@
         Self { shared, messages, cache: Cache::start(tasks), client: Rc::default() }
     }
 
+    /// Starts the actor of the member [`PEER`]; returns its mailbox.
     pub fn peer(&self) -> async_channel::Sender<PeerMessage> {
         Peer::start(PEER, self.cache.address, &self.shared)
     }
 
+    /// An attempt at the member, decided now, of a new call with this id.
     pub fn attempt(&self, ticket: u64, rid: &str) -> Rc<Attempt> {
         let call = Call {
             rid: rid.to_owned(),
@@ -104,7 +110,7 @@
         })
     }
 
-    /// A front that hands its requests to the test, with this drain state and its address.
+    /// Starts a front with this drain state that passes its requests to the test; returns it with its address.
     pub async fn front(&self, tasks: &Tasks, drain: &Rc<RefCell<Drain>>) -> (Rc<Front>, SocketAddr) {
         let (listener, address) = listen();
         (self.front_at(tasks, drain, listener), address)
@@ -134,6 +140,7 @@
         }
     }
 
+    /// Ticket and status of the next attempt that ends.
     pub async fn end(&self) -> (u64, Status) {
         match self.messages.recv().await.unwrap() {
             Message::Ended(end) => (end.ticket, end.status),
