--- a/silverspindle/src/hollow.rs
+++ b/silverspindle/src/hollow.rs
@@ -26,8 +26,8 @@
 
 use crate::clock;
 use crate::knowledge::keys::{self, Tls};
-use crate::links::{self, CONNECT, HANDSHAKE, within};
-use crate::steady::{DRIFT_PPM, steady};
+use crate::links::{self, CONNECT_TIMEOUT, HANDSHAKE_TIMEOUT, with_timeout};
+use crate::steady::{MAX_CLOCK_DRIFT_PPM, steady_now};
 
 /// Days that its certificates hold.
 const DAYS: u32 = 1;
@@ -66,7 +66,7 @@
         }
         let least = applied.iter().copied().min().unwrap_or(0);
         if least > self.least.replace(least) {
-            self.since.set(steady());
+            self.since.set(steady_now());
             let _ = self.changed.try_send(());
         }
     }
@@ -76,7 +76,7 @@
         loop {
             let quiet = async {
                 Timer::after(WORD_EVERY).await;
-                steady()
+                steady_now()
             };
             let change = async {
                 let _ = changes.recv().await;
@@ -140,11 +140,12 @@
     async fn connect(&self, parent: ParentId) -> io::Result<TlsStream<Counted>> {
         let (name, at) = self.parents.get(parent.0).ok_or(io::ErrorKind::NotFound)?;
         let server = ServerName::try_from(name.clone()).map_err(io::Error::other)?;
-        let stream = within(CONNECT, "connection", Async::<TcpStream>::connect(*at)).await?;
+        let stream = with_timeout(CONNECT_TIMEOUT, "connection", Async::<TcpStream>::connect(*at)).await?;
         let _ = stream.get_ref().set_nodelay(true);
         let stream = Counted { stream, totals: self.totals.clone() };
         let connector = TlsConnector::from(self.tls.client.clone());
-        let mut stream = within(HANDSHAKE, "handshake", connector.connect(server, stream)).await?;
+        let mut stream =
+            with_timeout(HANDSHAKE_TIMEOUT, "handshake", connector.connect(server, stream)).await?;
         stream.write_all(&protocol::encode(&Message::Subscribe { me: self.me }, VERSION)).await?;
         stream.flush().await?;
         Ok(stream)
@@ -158,7 +159,7 @@
                 let _ = events.send(Event::ParentUp(parent)).await;
                 let gone = |_| io::Error::other("the router is gone");
                 let heard = |frame| events.try_send(Event::FromParent(frame)).map_err(gone);
-                if let Err(e) = links::both(stream, &frames, None, bounds::FRAME, heard).await {
+                if let Err(e) = links::run_duplex(stream, &frames, None, bounds::FRAME, heard).await {
                     tracing::debug!("parent {}: {e}", parent.0);
                 }
             }
@@ -200,7 +201,7 @@
         let mut event = Event::Tick;
         loop {
             self.handle(event);
-            let wait = Duration::from_micros(self.node.due().saturating_sub(steady()));
+            let wait = Duration::from_micros(self.node.due().saturating_sub(steady_now()));
             let tick = async {
                 Timer::after(wait).await;
                 Event::Tick
@@ -212,7 +213,7 @@
     fn handle(&mut self, event: Event) {
         let (mut events, mut actions) = (vec![event], Vec::new());
         while let Some(event) = events.pop() {
-            self.node.handle(steady(), event, &mut actions);
+            self.node.handle(steady_now(), event, &mut actions);
             events.extend(actions.drain(..).filter_map(|action| self.act(action)));
         }
     }
@@ -263,7 +264,7 @@
         parents: conf.parents.len(),
         lease: conf.lease,
         direct_lease: conf.direct_lease,
-        drift_ppm: DRIFT_PPM,
+        drift_ppm: MAX_CLOCK_DRIFT_PPM,
         batch_every: conf.batch_interval,
         report_every: conf.report_interval,
         children: 0,
@@ -299,7 +300,7 @@
     if !parents.is_empty() {
         parents.rotate_left(number % conf.parents.len());
     }
-    let node = Node::new(settings(conf, name, me), KNOWN, steady());
+    let node = Node::new(settings(conf, name, me), KNOWN, steady_now());
     let connector = Rc::new(Connector { me, tls, parents, totals: totals.clone() });
     let (events, heard) = async_channel::unbounded();
     Ok((Router { index, node, connector, tasks: tasks.clone(), events, connection: None }, heard))
--- a/silverspindle/tests/common/orders.rs
+++ b/silverspindle/tests/common/orders.rs
@@ -22,7 +22,7 @@
     Attempt, AttemptEnd, BodyReservation, Call, ClientHandle, Descriptors, FeedFreshness, FeedLease, Message,
     Notification, RoutingState, Shared, Verdict,
 };
-use silverspindle::upstream::Order;
+use silverspindle::upstream::PeerMessage;
 
 pub const MS: Micros = 1000;
 pub const S: Micros = 1_000_000;
@@ -205,7 +205,7 @@
     fn attempt_written(&self, _: &Attempt, _: FeedFreshness) {}
 }
 
-type Mailboxes = Rc<RefCell<BTreeMap<MemberId, Receiver<Order>>>>;
+type Mailboxes = Rc<RefCell<BTreeMap<MemberId, Receiver<PeerMessage>>>>;
 
 /// The request, the simulated environment and what was observed of both.
 pub struct Play {
@@ -515,14 +515,14 @@
         for (member, mailbox) in &*self.mailboxes.borrow() {
             while let Ok(order) = mailbox.try_recv() {
                 match order {
-                    Order::Send(attempt) => {
+                    PeerMessage::Send(attempt) => {
                         let cell = self.members.get(member).map_or(0, |m| m.cell);
                         let (written, ended, given_up) = (None, None, false);
                         let sent = Sent { attempt, member: *member, cell, written, ended, given_up };
                         self.story.push(format!("  attempt {} at member {}", self.sent.len(), member.0));
                         self.sent.push(sent);
                     }
-                    Order::GiveUp(attempt, _) => {
+                    PeerMessage::Abandon(attempt, _) => {
                         let own = |s: &&mut Sent| s.attempt.ticket == attempt.ticket;
                         self.sent.iter_mut().filter(own).for_each(|s| s.given_up = true);
                     }
