--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -268,9 +268,9 @@
     }
 
     /// Chooses a connection for an attempt or probe with this id: an idle one; else a new one, while descriptors are
-    /// plenty and the expected loss by a break of a shared connection exceeds the price of a handshake; else the one
+    /// plenty and the expected loss by a break of a shared connection exceeds the cost of a handshake; else the one
     /// with the fewest streams. Sharing is avoided because one malformed answer or reset ends every attempt on the
-    /// connection. Where handshakes have a price, the comparison keeps a fleet from opening a connection for each
+    /// connection. Where handshakes have a cost, the comparison keeps a fleet from opening a connection for each
     /// request in a busy moment. An id is used at most once on a connection, as two answers with the same id can't be
     /// told apart. A connection that the peer may be about to close is not chosen, with a wider margin for classes that
     /// may not be repeated.
--- a/silverspindle/tests/actors.rs
+++ b/silverspindle/tests/actors.rs
@@ -110,10 +110,10 @@
     });
 }
 
-/// Where handshakes have a price, concurrent attempts share a connection until connections break so often that sharing
+/// Where handshakes have a cost, concurrent attempts share a connection until connections break so often that sharing
 /// loses more than a handshake costs. Guards against a fleet that opens a connection for each request in a busy moment.
 #[test]
-fn connections_are_shared_where_handshakes_have_a_price_until_they_break() {
+fn connections_are_shared_where_handshakes_have_a_cost_until_they_break() {
     run(async |tasks| {
         let mut options = settings();
         options["deductions"] = serde_json::json!({"handshake": 0.08});
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn each_answer_word_ends_the_attempt_with_its_status() {
+fn each_answer_code_ends_the_attempt_with_its_status() {
     run(async |tasks| {
         let harness = ActorHarness::new(tasks, 9);
         let peer = harness.peer();
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -73,8 +73,8 @@
         client.get_ref().write_all(&serve(2, &page(OTHER_RID), b"")).unwrap();
         front.close_releasable();
         let answer = read.next().await.unwrap().expect("an answer before the end");
-        assert!(backoff_advice(&answer, 2).is_some(), "refused, so long after the drain");
-        assert_eq!(read.next().await.unwrap(), None, "then it closes");
+        assert!(backoff_advice(&answer, 2).is_some(), "refused late in the drain");
+        assert_eq!(read.next().await.unwrap(), None, "the connection closes afterwards");
     });
 }
 
@@ -100,7 +100,7 @@
             future::yield_now().await;
         }
         let (mut all, mut client) = (Vec::new(), &client);
-        client.read_to_end(&mut all).await.expect("an end, no reset");
+        client.read_to_end(&mut all).await.expect("end of the stream without a reset");
         assert_eq!(all, served_answer(1, &[7; 100_000]));
         client.get_ref().shutdown(Shutdown::Both).unwrap();
         front.stop_accepting();
@@ -171,7 +171,7 @@
         drain.borrow_mut().end(clock::now() - 2 * ARRIVAL_WINDOW);
         let usual = async {
             Timer::after(Duration::from_secs(1)).await;
-            panic!("waits for the client")
+            panic!("the exit still waits for the client")
         };
         let settled = async {
             while !front.is_finished() {
@@ -230,7 +230,7 @@
         let mut client = TcpStream::connect(address).unwrap();
         client.write_all(&serve(1, &page(RID), b"")).unwrap();
         front.stop_accepting();
-        assert!(!front.is_finished(), "a listener with a queue");
+        assert!(!front.is_finished(), "finished with a connection in the accept queue");
         // Within the time after SIGTERM in which all requests are taken.
         drain.borrow_mut().end(clock::now());
         let (handle, seq, _) = harness.request().await;
@@ -291,11 +291,11 @@
         for _ in 0..100 {
             front.close_releasable();
             future::yield_now().await;
-            assert_eq!(front.connection_counts().0, 1, "closed over replies that wait");
+            assert_eq!(front.connection_counts().0, 1, "closed with unwritten replies");
         }
         assert!(!front.is_finished());
         let mut all = Vec::new();
-        (&client).read_to_end(&mut all).await.expect("every reply, then the end and no reset");
+        (&client).read_to_end(&mut all).await.expect("all replies, then an end without a reset");
         assert!(all == replies, "{} bytes of {}", all.len(), replies.len());
         drop(client);
         wait_until(|| front.is_finished()).await;
@@ -366,7 +366,10 @@
             while want[0] == "never_mind" {
                 want = next().await.0;
             }
-            assert_eq!(want[1], OTHER_RID, "nothing more for the client that left (cancelling {cancelling})");
+            assert_eq!(
+                want[1], OTHER_RID,
+                "an attempt was sent for the client that left (cancelling {cancelling})"
+            );
             drop(coordinator);
         });
     }
@@ -391,7 +394,7 @@
         let client = Client::connect(tasks, router.address).await;
         client.send(&serve(1, &page(OTHER_RID), b"")).await;
         let (want, connection) = cache.next().await;
-        assert_eq!(want[1], OTHER_RID, "no attempt for a client that had gone");
+        assert_eq!(want[1], OTHER_RID, "an attempt was sent for a client that left");
         reply(&connection, &[OTHER_RID, "HIT", NAMED, "b"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(1, b"b"));
         let mut rest = Vec::new();
@@ -432,7 +435,7 @@
             };
         };
         coordinator.accept().await.unwrap();
-        assert!(open() <= before + 8, "descriptors grow");
+        assert!(open() <= before + 8, "the number of descriptors grew");
         let held = router.client_connections();
         assert!(held <= silverspindle::front::max_client_connections(64), "{held} connections of clients");
     });
@@ -454,6 +457,6 @@
         // Before the writer runs.
         front.close_releasable();
         assert_eq!(read.next().await.unwrap().expect("an answer"), served_answer(1, b"late"));
-        assert_eq!(read.next().await.unwrap(), None, "then it closes");
+        assert_eq!(read.next().await.unwrap(), None, "the connection closes afterwards");
     });
 }
--- a/silverspindle/tests/crossing_lists.rs
+++ b/silverspindle/tests/crossing_lists.rs
@@ -59,7 +59,7 @@
         assert_eq!(last, 1);
         stream.write_all(&purge_event(3)).await.unwrap();
         let (mut stream, last) = accept_follower(&feed.listener).await;
-        assert_eq!(last, 1, "from the last that is known");
+        assert_eq!(last, 1, "requested from the last known event");
         assert!(feed.updates.is_empty(), "no event is delivered out of order");
         stream.write_all(&[purge_event(2), purge_event(3), purge_event(6)].concat()).await.unwrap();
         assert_eq!((next_purge(&feed).await, next_purge(&feed).await), (2, 3));
--- a/silverspindle/tests/crossing_peers.rs
+++ b/silverspindle/tests/crossing_peers.rs
@@ -155,7 +155,7 @@
         // The repeat is decided within the window and waits for the second cache until the window has ended.
         Timer::after(Duration::from_millis(600)).await;
         let connection = delayed.open().await;
-        assert!(reads_nothing(&connection).await, "a repeat after its window");
+        assert!(reads_nothing(&connection).await, "repeat written after its window");
         let answer = client.next().await.unwrap();
         assert!(answer == thrift::encode_broken(seq) || backoff_advice(&answer, seq).is_some());
     });
--- a/silverspindle/tests/failing_calls.rs
+++ b/silverspindle/tests/failing_calls.rs
@@ -82,7 +82,10 @@
             (fields[1].1, fields[3].1) = (&rid, &object);
             let client = Client::connect(tasks, router.clients).await;
             client.send(&serve(seq, &fields, b"")).await;
-            assert!(client.next().await.expect("an answer").len() > 1000, "{error}: served");
+            assert!(
+                client.next().await.expect("an answer").len() > 1000,
+                "{error}: the request was not served"
+            );
             calls.fail(call, None).unwrap();
             // Once the second snapshot exists, the first is complete: its directory is synced and its line is logged.
             for _ in 0..2 {
@@ -126,7 +129,7 @@
             assert!(aborted || spent < 100_000, "{error}: {spent} us of processor time");
             calls.fail(SystemCall::Accept, None).unwrap();
             let answer = client.next().await.expect("an answer");
-            assert!(answer.len() > 1000, "{error}: served");
+            assert!(answer.len() > 1000, "{error}: the request was not served");
             let log = shut_down(router);
             let said = log.iter().filter(|line| line.contains("front: accept: ")).count();
             assert_eq!(said, usize::from(!aborted), "{error}: {log:?}");
