--- a/silverspindle/src/invariant.rs
+++ b/silverspindle/src/invariant.rs
@@ -9,20 +9,20 @@
     VIOLATIONS.load(Ordering::Relaxed)
 }
 
-/// Counts and logs a violation of the invariant described by `what`.
-pub fn record_violation(what: &str) {
-    let times = VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1;
-    tracing::error!("invariant broken ({times} in all): {what}");
+/// Counts and logs a violation of the invariant with this description.
+pub fn record_violation(description: &str) {
+    let total = VIOLATIONS.fetch_add(1, Ordering::Relaxed) + 1;
+    tracing::error!("invariant broken ({total} in all): {description}");
 }
 
 /// Checks an invariant: panics on a violation in debug builds; counts and logs it in release builds and
 /// continues.
 #[macro_export]
 macro_rules! invariant {
-    ($holds:expr, $what:expr) => {
+    ($holds:expr, $description:expr) => {
         if !$holds {
-            debug_assert!(false, "invariant broken: {}", $what);
-            $crate::invariant::record_violation($what);
+            debug_assert!(false, "invariant broken: {}", $description);
+            $crate::invariant::record_violation($description);
         }
     };
 }
--- a/silverspindle/tests/clock_steps.rs
+++ b/silverspindle/tests/clock_steps.rs
@@ -32,11 +32,11 @@
 }
 
 impl SteppedRouter {
-    /// Starts the router, a cache behind it and a client with the given habit; returns after [`WARM_UP`]
+    /// Starts the router, a cache behind it and a client with the given behaviour; returns after [`WARM_UP`]
     /// requests.
     async fn start(
         tasks: &Tasks,
-        habit: SenderBehaviour,
+        behaviour: SenderBehaviour,
         cached: CacheBehaviour,
         edit: impl Fn(&mut serde_json::Value),
     ) -> Self {
@@ -56,7 +56,7 @@
         std::thread::spawn(move || lines.for_each(drop));
         let stream = Rc::new(Async::<std::net::TcpStream>::connect(router.clients).await.unwrap());
         let client = Rc::new(Sender::default());
-        tasks.spawn(client.clone().run(stream, habit)).detach();
+        tasks.spawn(client.clone().run(stream, behaviour)).detach();
         while client.last.get() < WARM_UP {
             Timer::after(MS).await;
         }
@@ -89,8 +89,8 @@
     const LOST_AFTER: Duration = Duration::from_millis(500);
     under_each_step(|step| {
         run(async |tasks| {
-            let habit = SenderBehaviour { budget: "900", ..DEFAULT_BEHAVIOUR };
-            let stepped = SteppedRouter::start(tasks, habit, CacheBehaviour::Never, |_| ()).await;
+            let behaviour = SenderBehaviour { budget: "900", ..DEFAULT_BEHAVIOUR };
+            let stepped = SteppedRouter::start(tasks, behaviour, CacheBehaviour::Never, |_| ()).await;
             stepped.clock.step_to(step).unwrap();
             stepped.send_more(12).await;
             let now = Instant::now();
@@ -109,9 +109,9 @@
 fn answers_are_served_across_a_step_of_the_wall_clock() {
     under_each_step(|step| {
         run(async |tasks| {
-            let habit = SenderBehaviour { budget: "2500", ..DEFAULT_BEHAVIOUR };
+            let behaviour = SenderBehaviour { budget: "2500", ..DEFAULT_BEHAVIOUR };
             let stepped =
-                SteppedRouter::start(tasks, habit, CacheBehaviour::After(300 * MS, 1000), |_| ()).await;
+                SteppedRouter::start(tasks, behaviour, CacheBehaviour::After(300 * MS, 1000), |_| ()).await;
             let before = stepped.client.last.get();
             stepped.clock.step_to(step).unwrap();
             stepped.send_more(12).await;
@@ -198,10 +198,10 @@
 
 /// Answers the cache's next command with a hit whose copy was made now; returns the command.
 async fn answer_with_hit(cache: &Cache) -> common::Command {
-    let (want, line) = cache.next().await;
+    let (want, connection) = cache.next().await;
     let stamp = silverspindle::clock::Stamp::now().as_micros() / 1000;
     let named = format!("version=4be0c1927d55a6f3,stamp={stamp},why=deep_fill");
-    reply(&line, &[&want[1], "HIT", &named, "bytes"]).await;
+    reply(&connection, &[&want[1], "HIT", &named, "bytes"]).await;
     want
 }
 
@@ -210,7 +210,8 @@
 fn a_copy_is_not_served_past_its_time_by_a_router_that_started_behind() {
     for offset in [-5 * SECOND, -3600 * SECOND] {
         run(async |tasks| {
-            let (_router, cache, client, _kept, _directory) = start_with_wrong_clock(tasks, offset).await;
+            let (_router, cache, client, _coordinator, _directory) =
+                start_with_wrong_clock(tasks, offset).await;
             request_object(&client, 1).await;
             answer_with_hit(&cache).await;
             assert_eq!(client.next().await.unwrap(), served_answer(1, b"bytes"));
--- a/silverspindle/tests/router.rs
+++ b/silverspindle/tests/router.rs
@@ -21,7 +21,7 @@
         let mut fields = page(RID);
         fields.push(("cached", "4be0c1927d55a6f3"));
         client.send(&serve(2, &fields, b"")).await;
-        let (want, line) = cache.next().await;
+        let (want, connection) = cache.next().await;
         assert_eq!((want[0].as_str(), want[1].as_str(), want[3].as_str()), ("want", RID, ""));
         for (name, value) in [
             ("lane", Some("page")),
@@ -36,16 +36,16 @@
         }
         assert!((1..=20_000).contains(&field(&want, "ttl").unwrap().parse::<u64>().unwrap()));
         let body = "x".repeat(240_000);
-        reply(&line, &[RID, "HIT", NAMED, &body]).await;
+        reply(&connection, &[RID, "HIT", NAMED, &body]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(2, body.as_bytes()));
 
-        // The client's own copy is still valid: the answer has an empty body and `keep`.
+        // The client's copy is still valid: the answer has an empty body and `keep`.
         (fields[1].1, fields[4].1) = (SECOND_RID, "4");
         client.send(&serve(3, &fields, b"")).await;
-        let (_, line) = cache.next().await;
-        reply(&line, &[SECOND_RID, "VALID", NAMED, ""]).await;
-        let holds = thrift::encode_answer("serve", 3, 0, &[("keep", "1")], true).concat();
-        assert_eq!(client.next().await.unwrap(), holds);
+        let (_, connection) = cache.next().await;
+        reply(&connection, &[SECOND_RID, "VALID", NAMED, ""]).await;
+        let not_modified = thrift::encode_answer("serve", 3, 0, &[("keep", "1")], true).concat();
+        assert_eq!(client.next().await.unwrap(), not_modified);
     });
 }
 
@@ -59,10 +59,10 @@
         fields[0].1 = "scan";
         fields.push(("token", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
         client.send(&serve(1, &fields, b"scanned")).await;
-        let (want, line) = cache.next().await;
+        let (want, connection) = cache.next().await;
         assert_eq!((want[3].as_str(), field(&want, "retain")), ("scanned", None));
         assert_eq!(field(&want, "dedupe"), Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
-        reply(&line, &[RID, "HIT", "why=deep_fill", "done"]).await;
+        reply(&connection, &[RID, "HIT", "why=deep_fill", "done"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(1, b"done"));
     });
 }
@@ -77,11 +77,11 @@
         // Each request has a connection of its own, and the cache may read those in any order.
         let mut read = [cache.next().await, cache.next().await];
         read.sort_by(|a, b| b.0[1].cmp(&a.0[1]));
-        let [(first, line), (second, other)] = read;
+        let [(first, connection), (second, other)] = read;
         assert_eq!((first[1].as_str(), second[1].as_str()), (RID, SECOND_RID));
         reply(&other, &[SECOND_RID, "HIT", NAMED, "b"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(2, b"b"));
-        reply(&line, &[RID, "HIT", NAMED, "a"]).await;
+        reply(&connection, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
@@ -134,7 +134,7 @@
         let (router, _coordinator) = router(tasks, &[cache.address]);
         let good = Client::connect(tasks, router.address).await;
         good.send(&serve(1, &page(RID), b"")).await;
-        let (_, line) = cache.next().await;
+        let (_, connection) = cache.next().await;
         for garbage in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0, 0, 0, 4, 1, 2, 3, 4], &[0x7f, 0, 0, 0]] {
             let bad = Client::connect(tasks, router.address).await;
             bad.send(garbage).await;
@@ -142,7 +142,7 @@
         }
         good.send(&call(1, "dance", 2, &[0])).await;
         assert_eq!(good.next().await.unwrap(), thrift::encode_unknown_method("dance", 2));
-        reply(&line, &[RID, "HIT", NAMED, "a"]).await;
+        reply(&connection, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(good.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
@@ -156,17 +156,17 @@
         let (router, _coordinator) = router(tasks, &[cache.address]);
         let client = Client::connect(tasks, router.address).await;
         client.send(&serve(1, &page(RID), b"")).await;
-        let (_, line) = cache.next().await;
+        let (_, connection) = cache.next().await;
         client.send(&forget(1)).await;
         // The answer to this call follows the `forget`, so the director has read that before the cache
         // answers.
         assert!(client.is_well(2).await);
         assert_eq!(cache.next().await.0, ["never_mind", RID]);
-        reply(&line, &[RID, "HIT", NAMED, "late"]).await;
+        reply(&connection, &[RID, "HIT", NAMED, "late"]).await;
         client.send(&serve(3, &page(SECOND_RID), b"")).await;
-        let (want, line) = cache.next().await;
+        let (want, connection) = cache.next().await;
         assert_eq!(want[1], SECOND_RID);
-        reply(&line, &[SECOND_RID, "HIT", NAMED, "b"]).await;
+        reply(&connection, &[SECOND_RID, "HIT", NAMED, "b"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(3, b"b"));
     });
 }
@@ -186,9 +186,9 @@
         assert_eq!(cache.next().await.0, ["never_mind", RID]);
         let other = Client::connect(tasks, router.address).await;
         other.send(&serve(1, &page(SECOND_RID), b"")).await;
-        let (want, line) = cache.next().await;
+        let (want, connection) = cache.next().await;
         assert_eq!(want[1], SECOND_RID);
-        reply(&line, &[SECOND_RID, "HIT", NAMED, "b"]).await;
+        reply(&connection, &[SECOND_RID, "HIT", NAMED, "b"]).await;
         assert_eq!(other.next().await.unwrap(), served_answer(1, b"b"));
     });
 }
@@ -218,14 +218,14 @@
             fields.push(("mem", "50000"));
             client.send(&serve(1, &fields, b"")).await;
             let next = || futures_lite::future::or(one.next(), two.next());
-            let (_, line) = next().await;
+            let (_, connection) = next().await;
             match malformed {
-                Some(bytes) => (&*line).write_all(bytes.as_bytes()).await.unwrap(),
-                None => line.get_ref().shutdown(std::net::Shutdown::Both).unwrap(),
+                Some(bytes) => (&*connection).write_all(bytes.as_bytes()).await.unwrap(),
+                None => connection.get_ref().shutdown(std::net::Shutdown::Both).unwrap(),
             }
-            let (again, line) = next().await;
+            let (again, connection) = next().await;
             assert_eq!(again[1], RID);
-            reply(&line, &[RID, "HIT", NAMED, "a"]).await;
+            reply(&connection, &[RID, "HIT", NAMED, "a"]).await;
             assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         });
     }
@@ -247,8 +247,8 @@
             let mut fields: Vec<(&str, &str)> = page(RID);
             (fields[1].1, fields[3].1) = (&object, &object);
             client.send(&serve(seq, &fields, b"")).await;
-            let (_, line) = cache.next().await;
-            reply(&line, &[&object, "HIT", NAMED, "a"]).await;
+            let (_, connection) = cache.next().await;
+            reply(&connection, &[&object, "HIT", NAMED, "a"]).await;
             assert_eq!(client.next().await.unwrap(), served_answer(seq, b"a"));
         }
     });
@@ -306,8 +306,8 @@
             client.send(&serve(seq, &fields, b"")).await;
             let when_refused = async { client.next().await.map(|a| backoff_advice(&a, seq).is_some()) };
             let when_served = async {
-                let (_, line) = two.next().await;
-                reply(&line, &[&rid, "HIT", NAMED, "a"]).await;
+                let (_, connection) = two.next().await;
+                reply(&connection, &[&rid, "HIT", NAMED, "a"]).await;
                 client.next().await.map(|a| backoff_advice(&a, seq).is_some())
             };
             if futures_lite::future::or(when_refused, when_served).await.unwrap() {
@@ -343,9 +343,9 @@
             let late = Client::connect(tasks, router.address).await;
             while late.is_well(1).await {}
             late.send(&serve(2, &page(SECOND_RID), b"")).await;
-            let (want, line) = cache.next().await;
+            let (want, connection) = cache.next().await;
             assert_eq!(want[1], SECOND_RID);
-            reply(&line, &[SECOND_RID, "HIT", NAMED, "b"]).await;
+            reply(&connection, &[SECOND_RID, "HIT", NAMED, "b"]).await;
             assert_eq!(late.next().await.unwrap(), served_answer(2, b"b"));
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
             assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
@@ -363,7 +363,7 @@
         let (router, _coordinator) = router_with_sockets(tasks, &[cache.address], 64);
         let busy = Client::connect(tasks, router.address).await;
         busy.send(&serve(1, &page(RID), b"")).await;
-        let (_, line) = cache.next().await;
+        let (_, connection) = cache.next().await;
         let mut held = Vec::new();
         for _ in 0..3 * max_client_connections(64) {
             let client = Client::connect(tasks, router.address).await;
@@ -371,7 +371,7 @@
             held.push(client);
         }
         assert_eq!(held[0].next().await, None, "the connection unused for longest is closed");
-        reply(&line, &[RID, "HIT", NAMED, "a"]).await;
+        reply(&connection, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(busy.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
@@ -405,7 +405,7 @@
         let (good, bad) =
             (Client::connect(tasks, router.address).await, Client::connect(tasks, router.address).await);
         good.send(&serve(1, &page(RID), b"")).await;
-        let (_, line) = cache.next().await;
+        let (_, connection) = cache.next().await;
         let mut other = page(RID);
         other[3].1 = "00000000000000b1";
         bad.send(&serve(7, &other, b"")).await;
@@ -413,7 +413,7 @@
         bad.send(&serve(7, &page(SECOND_RID), b"")).await;
         assert_eq!(bad.next().await, None);
         assert!(cache.nothing_came());
-        reply(&line, &[RID, "HIT", NAMED, "a"]).await;
+        reply(&connection, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(good.next().await.unwrap(), served_answer(1, b"a"));
     });
 }
@@ -427,16 +427,16 @@
         let (router, coordinator) = router(tasks, &[cache.address]);
         let client = Client::connect(tasks, router.address).await;
         client.send(&serve(1, &page(RID), b"")).await;
-        let (_, line) = cache.next().await;
-        reply(&line, &[RID, "HIT", NAMED, "a"]).await;
+        let (_, connection) = cache.next().await;
+        reply(&connection, &[RID, "HIT", NAMED, "a"]).await;
         assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
         client.send(&serve(2, &page(SECOND_RID), b"")).await;
         assert_eq!(client.next().await.unwrap(), served_answer(2, b"a"));
         let mut holder = page("00000000000000a3");
         holder.push(("cached", "4be0c1927d55a6f3"));
         client.send(&serve(3, &holder, b"")).await;
-        let holds = thrift::encode_answer("serve", 3, 0, &[("keep", "1")], true).concat();
-        assert_eq!(client.next().await.unwrap(), holds);
+        let not_modified = thrift::encode_answer("serve", 3, 0, &[("keep", "1")], true).concat();
+        assert_eq!(client.next().await.unwrap(), not_modified);
         assert!(cache.nothing_came());
 
         let mut feed = coordinator.accept().await.unwrap().0;
@@ -449,8 +449,8 @@
             client.send(&serve(seq, &fields, b"")).await;
             let asked = async { Some(cache.next().await) };
             let own = async { client.next().await.and(None) };
-            if let Some((_, line)) = futures_lite::future::or(asked, own).await {
-                reply(&line, &[&rid, "HIT", "version=bb,stamp=1764576000124", "b"]).await;
+            if let Some((_, connection)) = futures_lite::future::or(asked, own).await {
+                reply(&connection, &[&rid, "HIT", "version=bb,stamp=1764576000124", "b"]).await;
                 assert_eq!(client.next().await.unwrap(), served_answer(seq, b"b"));
                 break;
             }
@@ -459,9 +459,9 @@
 }
 
 /// Guards against a router that shuts down and accepts requests that SIGKILL would leave unanswered. On a
-/// busy connection, a request that arrives after `ARRIVAL_WINDOW` and is due after the kill is refused at once with
-/// advice and sent to no cache. One that is due before the kill is still served, and requests accepted
-/// earlier are answered.
+/// busy connection, a request that arrives after `ARRIVAL_WINDOW` and is due after the kill is refused at
+/// once with advice and sent to no cache. One that is due before the kill is still served, and requests
+/// accepted earlier are answered.
 #[test]
 fn a_router_that_shuts_down_refuses_requests_due_after_the_kill() {
     run(async |tasks| {
@@ -471,7 +471,8 @@
         client.send(&serve(1, &page(RID), b"")).await;
         let (_, first) = cache.next().await;
         let client_script = async {
-            // Wait for the end of `ARRIVAL_WINDOW`, as requests within it are accepted whatever their deadline.
+            // Wait for the end of `ARRIVAL_WINDOW`, as requests within it are accepted whatever their
+            // deadline.
             silverspindle::clock::timer_at(
                 silverspindle::clock::now() + silverspindle::drain::ARRIVAL_WINDOW,
             )
@@ -484,14 +485,14 @@
             short.push(("budget", "1000"));
             client.send(&serve(3, &short, b"")).await;
             // Second copies of the first request may arrive in between; the refused one never does.
-            let (want, line) = loop {
-                let (want, line) = cache.next().await;
+            let (want, connection) = loop {
+                let (want, connection) = cache.next().await;
                 if want[1] != RID {
-                    break (want, line);
+                    break (want, connection);
                 }
             };
             assert_eq!(want[1], THIRD_RID, "no attempt was made for the refused request");
-            reply(&line, &[THIRD_RID, "HIT", NAMED, "c"]).await;
+            reply(&connection, &[THIRD_RID, "HIT", NAMED, "c"]).await;
             assert_eq!(client.next().await.unwrap(), served_answer(3, b"c"));
             reply(&first, &[RID, "HIT", NAMED, "a"]).await;
             assert_eq!(client.next().await.unwrap(), served_answer(1, b"a"));
