--- a/silverspindle/src/counters.rs
+++ b/silverspindle/src/counters.rs
@@ -11,7 +11,7 @@
 /// Reason why a client connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// The client closed or reset it.
+    /// The client closed or reset the connection.
     ClientLeft,
     /// The client sent nothing at all, or nothing more for longer than clients usually pause.
     Idle,
--- a/silverspindle/src/logging.rs
+++ b/silverspindle/src/logging.rs
@@ -17,7 +17,7 @@
 /// Maximum number of log lines per second.
 const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Rate limiter that passes at most [`MAX_LINES_PER_SECOND`] lines in each second.
+/// Rate limiter that passes at most `MAX_LINES_PER_SECOND` lines in each second.
 #[derive(Debug, Default)]
 pub struct RateLimiter {
     second: Micros,
--- a/silverspindle/src/main.rs
+++ b/silverspindle/src/main.rs
@@ -75,8 +75,7 @@
         #[command(subcommand)]
         command: FleetCommand,
     },
-    /// Run hollow routers, which are the core of the purge log without the rest of a router, for 'try
-    /// --hollow'
+    /// Run hollow routers for 'try --hollow': the core of the purge log without the rest of a router
     #[command(hide = true)]
     Hollow {
         /// The operators' file of all hollow routers
--- a/silverspindle/tests/restarts.rs
+++ b/silverspindle/tests/restarts.rs
@@ -53,9 +53,9 @@
 /// must become ready on the address of the killed one.
 #[test]
 fn thirty_processes_killed_under_traffic_are_ready_again() {
-    let (_listener, nowhere) = common::listen();
-    let members: Vec<_> = (1..=200).map(|id| common::entry(id, "box", nowhere)).collect();
-    let file = common::configuration(&members, nowhere);
+    let (_listener, coordinator_address) = common::listen();
+    let members: Vec<_> = (1..=200).map(|id| common::entry(id, "box", coordinator_address)).collect();
+    let file = common::configuration(&members, coordinator_address);
     let first: Vec<_> = (0..PROCESSES).map(|_| start(&file, &format!("{}:0", common::ip()))).collect();
     let addresses: Vec<SocketAddr> = first.iter().map(|(_, address)| *address).collect();
     // Clients that keep reconnecting, whatever answer they get.
