--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -1,4 +1,4 @@
-//! Clients' connections. Each is read and written by a task of its own ([`connection`]), and every request gets exactly
+//! Clients' connections. Each is read and written by a task of its own (`connection`), and every request gets exactly
 //! one answer.
 
 use std::cell::{Cell, RefCell};
@@ -256,6 +256,7 @@
         }
     }
 
+    /// Whether all connections allowed for clients are in use.
     fn is_full(&self) -> bool {
         self.connections.borrow().len() + self.closing.len() >= self.max_connections
     }
--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -115,6 +115,7 @@
         }
     }
 
+    /// Counts a request as finished that will get no answer.
     fn drop_request(&self) {
         self.finish_request();
     }
@@ -303,6 +304,8 @@
         }
     }
 
+    /// Reads messages, passes requests to the director and queues replies that need no decision, until the client closes
+    /// or this side may close.
     async fn read(
         self: &Rc<Self>,
         stream: &Async<TcpStream>,
@@ -428,6 +431,7 @@
         }
     }
 
+    /// Writes the director's answers and the reader's replies until one of the queues is closed.
     async fn write(
         &self,
         stream: &Async<TcpStream>,
--- a/silverspindle/src/front/drain_log.rs
+++ b/silverspindle/src/front/drain_log.rs
@@ -50,6 +50,7 @@
         }
     }
 
+    /// Logs the state of a drain in progress when it is due, and its completion once.
     fn log_progress(&mut self, front: &Front, now: Micros, began: Micros, last_logged: Micros) {
         let after = now.saturating_sub(began) / 1000;
         if front.connections.borrow().is_empty() {
@@ -81,10 +82,12 @@
     text
 }
 
+/// The oldest connections still held.
 fn longest_held(front: &Front) -> Vec<Rc<Connection>> {
     front.connections.borrow().values().take(MAX_DESCRIBED).cloned().collect()
 }
 
+/// Logs why one connection is still held.
 fn describe(connection: &Connection, now: Micros) {
     let (unwritten, since_last_request) = connection.unwritten_and_last_request(now);
     let last_request_ms = since_last_request.map(|ago| ago / 1000);
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -82,6 +82,7 @@
 /// The actor's state of one connection.
 #[derive(Debug)]
 struct PeerConnection {
+    /// Queue of the connection's writer.
     commands: Sender<Command>,
     established: bool,
     /// Kept so that the socket can be shut down before the director learns how the attempts on it ended.
@@ -155,6 +156,7 @@
         format!("s-{:08x}", self.id.0)
     }
 
+    /// Handles messages and sweeps until the actor is retired and its last connection is closed.
     async fn run(mut self) {
         // The sweep is due by the clock and not after an idle moment: a steady flow of messages must not postpone it.
         let sweep_interval = MAX_SWEEP_INTERVAL
@@ -263,6 +265,7 @@
         }
     }
 
+    /// Reports the end of an attempt to the director.
     async fn report_end(&self, end: AttemptEnd) {
         let _ = self.shared.director.send(Message::Ended(end)).await;
     }
@@ -338,6 +341,7 @@
         Some(n)
     }
 
+    /// Queues an attempt on a connection, or reports it as never sent if no connection can take it.
     async fn send_attempt(&mut self, attempt: Rc<Attempt>) {
         let id = Bytes::copy_from_slice(attempt.call.rid.as_bytes());
         let connection = if attempt.abandoned.get() || self.retired {
@@ -359,6 +363,7 @@
         }
     }
 
+    /// Queues a probe on a connection, or reports a failed connect if no connection can take it.
     async fn send_probe(&mut self) {
         self.next_probe += 1;
         let id = Bytes::from(format!("probe-{}", self.next_probe));
@@ -373,10 +378,12 @@
         }
     }
 
+    /// Reports the result of a probe to the director.
     async fn report_probe(&self, status: Status, elapsed: Micros, load: Option<Load>) {
         let _ = self.shared.director.send(Message::Probed { member: self.id, status, elapsed, load }).await;
     }
 
+    /// Stops waiting for the answer to an attempt, and tells the peer so if the attempt was written.
     fn abandon(&mut self, attempt: &Rc<Attempt>, timed_out: bool) {
         let id = attempt.call.rid.as_bytes();
         let queued_since = |s: Option<&Stream>| match s {
@@ -403,6 +410,8 @@
         }
     }
 
+    /// Ends the attempt or probe that an answer belongs to. A malformed answer, or one that does not match its request,
+    /// ends the connection.
     async fn handle_answer(&mut self, number: u64, frame: Bytes) {
         let Some(connection) = self.connections.get_mut(&number) else { return };
         let now = clock::now();
@@ -531,20 +540,24 @@
 /// The task of one connection.
 struct ConnectionTask {
     peer: MemberId,
+    /// Number of the connection in the actor.
     connection: u64,
     address: SocketAddr,
     queued_commands: Receiver<Command>,
+    /// Closed when the actor drops the connection.
     cancelled: Receiver<()>,
     actor: Sender<PeerMessage>,
     shared: Rc<Shared>,
 }
 
 impl ConnectionTask {
+    /// Serves the connection and reports its end to the actor.
     async fn run(self) {
         let Err(error) = self.serve().await;
         let _ = self.actor.send(PeerMessage::Disconnected(self.connection, error)).await;
     }
 
+    /// Connects, then reads answers and writes queued commands until an error or a cancellation.
     async fn serve(&self) -> Result<std::convert::Infallible, io::Error> {
         let timeout = async {
             Timer::after(Duration::from_micros(self.shared.site.settings.connect_timeout)).await;
