--- a/silverspindle/src/drain.rs
+++ b/silverspindle/src/drain.rs
@@ -83,8 +83,8 @@
     pub unread_until: Option<Micros>,
     /// The client was observed to read slowly.
     pub slow_reader: bool,
-    /// A request or another message has come on this connection.
-    pub had_request: bool,
+    /// Any message was received on this connection, also one that is no request (`isWell`).
+    pub received_any: bool,
     /// When the connection was accepted or last had activity.
     pub last_active: Micros,
 }
@@ -374,7 +374,7 @@
     if seen.unread_until.is_some_and(|until| now < until.min(wait_for_reader_until)) {
         return Some(HoldReason::UnreadAnswers);
     }
-    let late_and_silent = !seen.had_request && seen.last_active >= since;
+    let late_and_silent = !seen.received_any && seen.last_active >= since;
     let in_time = now < seen.last_active.saturating_add(FIRST_MESSAGE_TIMEOUT);
     let check_ahead =
         (since.saturating_add(FORCED_ANSWER_AFTER)..since.saturating_add(CLOSE_DEADLINE)).contains(&now);
@@ -394,7 +394,7 @@
             last_request: None,
             unread_until: None,
             slow_reader: false,
-            had_request: true,
+            received_any: true,
             last_active: used,
         }
     }
@@ -451,10 +451,10 @@
         let busy = ConnectionState { open: 1, ..idle(10 * S) };
         assert!(!d.may_close(12 * S, busy), "an open request is answered first");
         // A connection that came late gets time for its first message, one from before the drain does not.
-        let late = ConnectionState { had_request: false, ..idle(10 * S + GRACE) };
+        let late = ConnectionState { received_any: false, ..idle(10 * S + GRACE) };
         assert!(!d.may_close(10 * S + GRACE + 1, late));
         assert!(d.may_close(10 * S + GRACE + FIRST_MESSAGE_TIMEOUT, late));
-        assert!(d.may_close(10 * S + GRACE, ConnectionState { had_request: false, ..idle(9 * S) }));
+        assert!(d.may_close(10 * S + GRACE, ConnectionState { received_any: false, ..idle(9 * S) }));
         d.resume();
         assert!(!d.may_close(20 * S, idle(0)), "a resumed router keeps its connections");
     }
@@ -539,10 +539,10 @@
             d.waits_for_partial_message(10 * S + BUSY_ACCEPT_TIME - 1)
                 && !d.waits_for_partial_message(10 * S + BUSY_ACCEPT_TIME)
         );
-        let late = ConnectionState { had_request: false, ..idle(by - 1) };
+        let late = ConnectionState { received_any: false, ..idle(by - 1) };
         assert!(d.may_close(by, late), "also a connection that came late and has sent nothing");
         assert!(
-            !d.may_close(15 * S, ConnectionState { had_request: false, ..idle(15 * S - 1) }),
+            !d.may_close(15 * S, ConnectionState { received_any: false, ..idle(15 * S - 1) }),
             "a connection that comes after CLOSE_DEADLINE has time for its first request"
         );
         d.end(15 * S);
--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -1,4 +1,4 @@
-//! Clients' connections. Each is read and written by a task of its own (`connection`), and every request gets exactly
+//! Clients' connections. Each is read and written by a task of its own (`front::connection`), and every request gets exactly
 //! one answer.
 
 use std::cell::{Cell, RefCell};
@@ -36,7 +36,7 @@
 
 /// Number of open requests expected on one connection, by which its queues are sized. Twice as many are accepted before
 /// further ones are refused.
-pub const MAX_OPEN_REQUESTS: usize = 32;
+pub const EXPECTED_OPEN_REQUESTS: usize = 32;
 /// A connection used within this time, in microseconds, is not closed to make room, as a request may be on its way.
 const RECENT_USE: Micros = 50_000;
 /// Delay before the next accept while no connection is free, or after a failed accept (without a descriptor, for
@@ -53,7 +53,7 @@
 const MAX_CLOSING: usize = 8;
 /// Capacity of a connection's answer queue: one answer for each open request, and as many that were ready while an
 /// earlier answer was still being written.
-const MAX_QUEUED_ANSWERS: usize = 2 * MAX_OPEN_REQUESTS;
+const MAX_QUEUED_ANSWERS: usize = 2 * EXPECTED_OPEN_REQUESTS;
 /// Retry delay, in milliseconds, advised to a client that is refused before the module sees its request, where the
 /// settings enable this advice.
 const REFUSAL_BACKOFF_MS: u64 = 200;
--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -17,7 +17,7 @@
 
 use super::closing::{LINGER_TIMEOUT, MAX_UNSENT, discard_until_closed};
 use super::reading::ReadProgress;
-use super::{Front, MAX_OPEN_REQUESTS, MAX_QUEUED_ANSWERS};
+use super::{EXPECTED_OPEN_REQUESTS, Front, MAX_QUEUED_ANSWERS};
 use crate::counters::{CloseReason, RefusalReason};
 use crate::drain::{ConnectionState, HoldReason};
 use crate::framing::{Malformed, MessageReader};
@@ -180,7 +180,7 @@
             last_request: self.last_request.get(),
             unread_until: self.read_progress.unread_until(clock::now()),
             slow_reader: self.read_progress.is_slow(clock::now()),
-            had_request: self.received_any.get(),
+            received_any: self.received_any.get(),
             last_active: self.last_active.get(),
         }
     }
@@ -251,7 +251,7 @@
         // Limits the unsent bytes in the kernel, which can't be observed. Platforms without the option keep the default.
         let _ = SockRef::from(stream.get_ref()).set_tcp_notsent_lowat(MAX_UNSENT);
         // The reader itself replies to messages that need no decision; it waits while these replies are not written.
-        let (reply_sender, reply_queue) = async_channel::bounded(MAX_OPEN_REQUESTS);
+        let (reply_sender, reply_queue) = async_channel::bounded(EXPECTED_OPEN_REQUESTS);
         let cut = async { Ok(End::Closing(channels.cuts.recv().await.unwrap_or(CloseReason::Memory))) };
         let write = self.write(&stream, &channels.answers, &reply_queue);
         let ended = future::or(
--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -17,7 +17,7 @@
 use silverspindle::clock;
 use silverspindle::drain::{ARRIVAL_WINDOW, Drain, GRACE};
 use silverspindle::framing::MessageReader;
-use silverspindle::front::MAX_OPEN_REQUESTS;
+use silverspindle::front::EXPECTED_OPEN_REQUESTS;
 use silverspindle::thrift;
 use silverspindle::traffic::{Message, Verdict};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -262,7 +262,7 @@
     // The reply to an unknown method repeats its name. All replies fit into the reader's queue, so that the reader never
     // waits for room and a close would reach it.
     const LONG_REPLIES: i32 = 12;
-    const _: () = assert!((LONG_REPLIES as usize) < MAX_OPEN_REQUESTS);
+    const _: () = assert!((LONG_REPLIES as usize) < EXPECTED_OPEN_REQUESTS);
     const LONGEST_SEGMENT: usize = 65_536;
     let unknown = "x".repeat(60_000);
     run(async |tasks| {
--- a/silverspindle/tests/front_times.rs
+++ b/silverspindle/tests/front_times.rs
@@ -65,7 +65,7 @@
         last_request,
         unread_until,
         slow_reader,
-        had_request: true,
+        received_any: true,
         last_active: 10 * S,
     }
 }
