--- a/conf/src/settings.rs
+++ b/conf/src/settings.rs
@@ -189,12 +189,12 @@
     let mut peers = |key: &str| {
         let mut peers: Vec<(String, SocketAddr)> = Vec::new();
         for (line, value) in given.get(key).map_or(&[][..], Vec::as_slice) {
-            let Value::Peer(name, at) = value else { continue };
+            let Value::Peer(name, address) = value else { continue };
             if peers.iter().any(|(other, _)| other == name) {
                 let problem = format!("{name} is given twice");
                 faults.push(Fault { line: *line, key: key.to_owned(), problem });
             }
-            peers.push((name.clone(), *at));
+            peers.push((name.clone(), *address));
         }
         peers
     };
@@ -310,7 +310,7 @@
     let mut fault = |line: usize, key: &str, problem: &str| {
         faults.push(Fault { line, key: key.to_owned(), problem: problem.to_owned() });
     };
-    let Some((role, at)) = role.zip(line("relay-role")) else {
+    let Some((role, role_line)) = role.zip(line("relay-role")) else {
         // A file of staff names the sources without a role. Directives with a default don't show that a role is wanted,
         // as they are in every file that `show` writes.
         for (key, line) in ["relay-parent", "relay-records-file"].map(|key| (key, line(key))) {
@@ -326,7 +326,7 @@
         }
         (RelayRole::Relay | RelayRole::Router, None) => {
             fault(
-                at,
+                role_line,
                 "relay-role",
                 "needs relay-parent lines: a relay or router takes the log from a parent",
             );
@@ -334,11 +334,15 @@
         _ => {}
     }
     if role != RelayRole::Router && line("exchange-listen").is_none() {
-        fault(at, "relay-role", "needs exchange-listen: others take the log from a source or relay there");
+        fault(
+            role_line,
+            "relay-role",
+            "needs exchange-listen: others take the log from a source or relay there",
+        );
     }
     let [within, direct, report] = ["relay-within", "relay-direct", "relay-report"].map(number);
     // A duration out of its bounds is reported already; the default in its place should cause no second fault.
-    let line_of = |keys: [&str; 2]| keys.into_iter().filter_map(line).max().unwrap_or(at);
+    let line_of = |keys: [&str; 2]| keys.into_iter().filter_map(line).max().unwrap_or(role_line);
     if direct >= within {
         let problem =
             "must be shorter than relay-within: no parent counts a router that follows the coordinator";
--- a/silverspindle/src/agreement/orders.rs
+++ b/silverspindle/src/agreement/orders.rs
@@ -31,7 +31,7 @@
 #[derive(Clone)]
 pub struct Yard {
     /// The coordinator's members.
-    pub board: Rc<RoutingState>,
+    pub state: Rc<RoutingState>,
     /// Hears what is withheld.
     pub director: Sender<Message>,
     /// The settings, and the classes' names.
@@ -41,9 +41,9 @@
     /// The router's own drain, and who is told when it changes.
     pub drain: Rc<RefCell<Drain>>,
     /// See `drain`.
-    pub nudge: Sender<()>,
+    pub drain_notifier: Sender<()>,
     /// Whether it owes answers.
-    pub owes: Rc<dyn Fn() -> bool>,
+    pub owes_answers: Rc<dyn Fn() -> bool>,
 }
 
 impl Yard {
@@ -262,7 +262,7 @@
         }
         if drain.phase() != before {
             tracing::info!("work: this router {}", if drain.ready() { "serves again" } else { "goes out" });
-            let _ = self.yard.nudge.try_send(());
+            let _ = self.yard.drain_notifier.try_send(());
         }
     }
 
@@ -274,13 +274,13 @@
             let _ = self.yard.director.try_send(Message::PublishLimits);
         }
         let (unix, steady) = (clock::now(), steady_now());
-        let members = self.yard.board.members();
+        let members = self.yard.state.members();
         let in_orders: BTreeSet<MemberId> = work.stages.keys().filter_map(number).collect();
         let places: BTreeSet<u32> =
             in_orders.iter().filter_map(|id| members.get(id)).map(|noted| self.yard.place(noted)).collect();
-        let open = self.yard.board.ledger(|ledger| (ledger.open(steady), ledger.loads(steady)));
+        let open = self.yard.state.ledger(|ledger| (ledger.open(steady), ledger.loads(steady)));
         let (open, loads) = open.unwrap_or_default();
-        let limits = self.yard.board.limits();
+        let limits = self.yard.state.limits();
         let near = members.iter().filter(|(_, noted)| places.contains(&self.yard.place(noted)));
         let thousandths = |x: f64| (x * 1000.0).clamp(0.0, 4e9) as u32;
         let bid = |id: &MemberId| {
@@ -293,7 +293,7 @@
             zone: self.yard.settings.zone as u32,
             number: node.fleet().number,
             open: open.into_iter().filter(|id| in_orders.contains(&MemberId(u64::from(*id)))).collect(),
-            serves: !self.yard.drain.borrow().is_out(unix) || (self.yard.owes)(),
+            serves: !self.yard.drain.borrow().is_out(unix) || (self.yard.owes_answers)(),
             bids: near.map(|(id, _)| bid(id)).collect(),
         };
         drop(limits);
@@ -321,7 +321,7 @@
             *all =
                 (all.0 + u64::from(bid.load), all.1 + u64::from(bid.limit), all.2 + usize::from(bid.aside));
         }
-        let listed = self.yard.board.members();
+        let listed = self.yard.state.members();
         let listed = listed.iter().filter(|(_, noted)| Some(noted.kind) != self.yard.settings.origin_kind);
         let members = listed.map(|(id, noted)| {
             let short = id.0 as u32;
--- a/silverspindle/src/config.rs
+++ b/silverspindle/src/config.rs
@@ -18,7 +18,7 @@
 /// Default of `limits.memory_mb`, in megabytes.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 /// Smallest value of `limits.memory_mb` that is accepted, in megabytes: the protocol's rules allow limits
-/// down to 32 MB, and on the operators' days the limits are halved.
+/// down to 32 MB, and on some days the operators halve the limits.
 const MIN_MEMORY_MB: f64 = 16.0;
 
 /// Looks up an environment variable by its name.
@@ -282,10 +282,10 @@
         report("family_info.root_kind", "must be an index into settings.kinds");
     }
     let value =
-        |part: &str, name: &str| settings.get(part).and_then(|p| p.get(name)).filter(|v| !v.is_null());
-    for (part, name) in WITHOUT_SAFE_DEFAULT {
-        if value(part, name).is_some_and(|v| !v.is_number()) {
-            report(&format!("{part}.{name}"), "must be a number");
+        |section: &str, name: &str| settings.get(section).and_then(|s| s.get(name)).filter(|v| !v.is_null());
+    for (section, name) in WITHOUT_SAFE_DEFAULT {
+        if value(section, name).is_some_and(|v| !v.is_number()) {
+            report(&format!("{section}.{name}"), "must be a number");
         }
     }
     let has_wrong_type = |value: &Value, kind: &str| match kind {
@@ -294,10 +294,10 @@
     };
     let ignored = WITH_SAFE_DEFAULT
         .iter()
-        .filter(|(part, name, kind, _)| value(part, name).is_some_and(|v| has_wrong_type(v, kind)));
+        .filter(|(section, name, kind, _)| value(section, name).is_some_and(|v| has_wrong_type(v, kind)));
     let mut notes: Vec<String> = ignored
-        .map(|(part, name, kind, default)| {
-            format!("settings.{part}.{name}: is not {kind}; taken as absent: {default}")
+        .map(|(section, name, kind, default)| {
+            format!("settings.{section}.{name}: is not {kind}; taken as absent: {default}")
         })
         .collect();
     for (i, class) in settings.get("classes").and_then(Value::as_array).into_iter().flatten().enumerate() {
--- a/silverspindle/src/coordinator.rs
+++ b/silverspindle/src/coordinator.rs
@@ -72,7 +72,7 @@
     /// The last event that is known.
     pub last: u64,
     /// Where events go.
-    pub news: S,
+    pub notices: S,
     /// Tells where the coordinator listens from now on.
     pub moves: Receiver<SocketAddr>,
     /// A gap behind this event was asked for again and came again: there is nothing to fill it.
@@ -91,7 +91,7 @@
     /// Runs until the director is gone.
     pub async fn run(mut self) {
         let moves = self.moves.clone();
-        while !self.news.is_closed() {
+        while !self.notices.is_closed() {
             // A closed channel tells no more moves, which must not end the following.
             let moved = async {
                 match moves.recv().await {
@@ -116,7 +116,7 @@
     /// Follows one coordinator through breaks, until the director is gone. May be dropped at any point.
     async fn follow_on(&mut self) {
         let mut wait = Duration::ZERO;
-        while !self.news.is_closed() {
+        while !self.notices.is_closed() {
             let before = self.last;
             let Err(e) = self.follow().await else { return };
             tracing::warn!(event = self.last, "coordinator {}: {e}; connecting anew", self.address);
@@ -155,7 +155,7 @@
                 }
                 tracing::warn!(event = index, "coordinator: {missing}, also when asked again");
             }
-            if !self.news.tell(Told { event, frame, after: empty }).await {
+            if !self.notices.tell(Told { event, frame, after: empty }).await {
                 return Ok(());
             }
             // Only now: dropped before, on a move, the event is asked for again.
--- a/silverspindle/src/distribution/actor.rs
+++ b/silverspindle/src/distribution/actor.rs
@@ -191,7 +191,8 @@
         let (send, told) = async_channel::bounded(TOLD);
         // Moves are heard here, also while nobody is followed.
         let (_, moves) = async_channel::bounded(1);
-        let coordinator = Coordinator { address: self.coordinator, last, news: Log(send), moves, gap: None };
+        let coordinator =
+            Coordinator { address: self.coordinator, last, notices: Log(send), moves, gap: None };
         self.following = Some(Following { told, last, _task: self.tasks.spawn(coordinator.run()) });
     }
 
--- a/silverspindle/src/distribution/mod.rs
+++ b/silverspindle/src/distribution/mod.rs
@@ -59,9 +59,9 @@
     /// Where tasks run.
     pub tasks: Rc<LocalExecutor<'static>>,
     /// Where the lease is asked for.
-    pub board: Rc<RoutingState>,
+    pub state: Rc<RoutingState>,
     /// So long after a purge caches have dropped all older copies.
-    pub cleared: Micros,
+    pub purge_cleared_after: Micros,
     /// The director.
     pub notices: Sender<Notification>,
     /// Where the coordinator listens.
@@ -125,7 +125,7 @@
     };
     let (ping, pinged) = async_channel::bounded(1);
     let feed = Rc::new(Feed::new(node.feed_guard(), around.applied, ping, records));
-    around.board.set_lease(feed.clone(), around.cleared);
+    around.state.set_lease(feed.clone(), around.purge_cleared_after);
     let (children, heard) = Children::new(conf.max_children + ASKERS, conf.lease);
     let service: Option<Rc<dyn Service>> = match conf.role {
         RelayRole::Router => None,
--- a/silverspindle/src/drain.rs
+++ b/silverspindle/src/drain.rs
@@ -169,8 +169,8 @@
     pub fn drain(&mut self, now: Micros) -> bool {
         // From here on the drain is staff's, even if an order of work started it: the end of the order does not undo
         // it.
-        if let Some((_, began)) = &mut self.ordered {
-            *began = false;
+        if let Some((_, started_by_order)) = &mut self.ordered {
+            *started_by_order = false;
         }
         self.begin_drain(now)
     }
@@ -189,9 +189,9 @@
     /// request, so that nothing is lost when it is unplugged. A router that restarts while it is already `out`
     /// refuses at once.
     pub fn order_out(&mut self, now: Micros, out: bool) {
-        let (since, began) = self.ordered.unwrap_or((now, false));
+        let (since, started_by_order) = self.ordered.unwrap_or((now, false));
         let since = if out { since.min(now.saturating_sub(ORDERED_ACCEPT_TIME)) } else { since };
-        self.ordered = Some((since, self.begin_drain(now) || began));
+        self.ordered = Some((since, self.begin_drain(now) || started_by_order));
     }
 
     /// The router's turn for work is over: it serves again, unless staff have requested a drain as well.
@@ -249,33 +249,41 @@
         }
     }
 
-    /// Whether a connection must be closed now: after the grace period, once no answer is owed on it. A connection that
-    /// came late and has sent nothing yet gets [`FIRST_MESSAGE_TIMEOUT`] for its first request.
-    pub fn may_close(&self, now: Micros, seen: ConnectionState) -> bool {
-        self.since().is_some() && self.hold_reason(now, seen).is_none()
+    /// Whether a drain or shutdown closes this connection now: after the grace period, once no answer is owed on it and
+    /// the client can have read what was written. A connection that came late and has sent nothing yet gets
+    /// [`FIRST_MESSAGE_TIMEOUT`] for its first message. [`Self::hold_reason`] tells why it is kept otherwise.
+    pub fn may_close(&self, now: Micros, connection: ConnectionState) -> bool {
+        self.since().is_some() && self.hold_reason(now, connection).is_none()
     }
 
     /// Why a connection is kept for now during a drain or shutdown.
-    pub fn hold_reason(&self, now: Micros, seen: ConnectionState) -> Option<HoldReason> {
-        hold_reason_since(self.since()?, self.wait_for_reader_until(), now, seen)
+    pub fn hold_reason(&self, now: Micros, connection: ConnectionState) -> Option<HoldReason> {
+        hold_reason_since(self.since()?, self.wait_for_reader_until(), now, connection)
     }
 
     /// Why a request that arrives now on this connection and is due by `deadline` is refused, as never run; none if
     /// it is accepted. A router that is shutting down accepts every request within [`ARRIVAL_WINDOW`] of the signal,
     /// as promised to clients, and later ones that it can answer before SIGKILL. After [`BUSY_ACCEPT_TIME`], during a
     /// drain or shutdown, no request is accepted on a connection with open requests: clients may keep using their
-    /// connections, and one that always has a request open would never be closed. From [`RECENT_REQUEST`] before
+    /// connections, and one that always has a request open would never be closed. Where answers wait for the client to
+    /// read them, or the client reads slowly, this applies from [`GRACE`] on. From [`RECENT_REQUEST`] before
     /// [`CLOSE_DEADLINE`] on, no request is accepted at all, as its connection would count as held at
-    /// [`CLOSE_DEADLINE`].
-    pub fn refusal(&self, now: Micros, deadline: Micros, seen: ConnectionState) -> Option<RefusalReason> {
+    /// [`CLOSE_DEADLINE`]. Apart from drain and shutdown, a router that is out for work or may pass on no request
+    /// refuses every one as withdrawn.
+    pub fn refusal(
+        &self,
+        now: Micros,
+        deadline: Micros,
+        connection: ConnectionState,
+    ) -> Option<RefusalReason> {
         if self.alone || self.is_out(now) {
             return Some(RefusalReason::Withdrawn);
         }
         let since = self.since()?;
         let slow_reader =
-            seen.slow_reader && seen.unread_until.is_some() && now < self.wait_for_reader_until();
-        let backlog = (seen.unwritten > 0 || slow_reader) && now >= since.saturating_add(GRACE);
-        let busy = seen.open > 0 && now >= since.saturating_add(BUSY_ACCEPT_TIME);
+            connection.slow_reader && connection.unread_until.is_some() && now < self.wait_for_reader_until();
+        let backlog = (connection.unwritten > 0 || slow_reader) && now >= since.saturating_add(GRACE);
+        let busy = connection.open > 0 && now >= since.saturating_add(BUSY_ACCEPT_TIME);
         let must_refuse = backlog || busy || now >= since.saturating_add(CLOSE_DEADLINE - RECENT_REQUEST);
         match self.phase {
             Phase::Ending(_) if now < self.signalled.saturating_add(ARRIVAL_WINDOW) => None,
@@ -303,9 +311,9 @@
 
     /// Whether the open requests of a connection must get their final answer now, because it would not be closed in
     /// time otherwise: its last request is within [`RECENT_REQUEST`] of [`CLOSE_DEADLINE`], or SIGKILL is near.
-    pub fn must_answer_now(&self, now: Micros, seen: ConnectionState) -> bool {
+    pub fn must_answer_now(&self, now: Micros, connection: ConnectionState) -> bool {
         let Some(since) = self.since() else { return false };
-        let in_use = seen
+        let in_use = connection
             .last_request
             .is_some_and(|at| at.saturating_add(RECENT_REQUEST) >= since.saturating_add(CLOSE_DEADLINE));
         let ending = matches!(self.phase, Phase::Ending(_));
@@ -323,14 +331,15 @@
             && now >= waits_since.max(since).saturating_add(READ_STALL)
     }
 
-    /// Whether the rest of a partially received message is waited for before its connection is closed: only while a
-    /// request would be accepted.
+    /// Whether the rest of a partially received message is waited for before its connection is closed: during a drain
+    /// or shutdown only for [`BUSY_ACCEPT_TIME`], in which requests are accepted.
     pub fn waits_for_partial_message(&self, now: Micros) -> bool {
         self.since().is_none_or(|since| now < since.saturating_add(BUSY_ACCEPT_TIME))
     }
 
     /// How long a connection that this side has closed may wait for the client's own close: `usual`, or during a
-    /// shutdown at most until shortly before SIGKILL, so that the process exits before it.
+    /// shutdown at most until [`CLOSE_MARGIN`] before SIGKILL, so that the process exits before it; from then on
+    /// [`CLOSE_MARGIN`].
     pub fn close_timeout(&self, now: Micros, usual: Micros) -> Micros {
         match self.phase {
             Phase::Ending(_) => {
@@ -348,34 +357,36 @@
     }
 
     /// Whether the process may exit: a shutdown has begun, [`ARRIVAL_WINDOW`] has passed since, no answer is owed and
-    /// all clients' connections are closed or have no answer left to write (`flushed`). From [`EXIT_OVERTIME`] after
-    /// the time of SIGKILL on, the process no longer waits for clients that read their answers too slowly.
-    pub fn may_exit(&self, now: Micros, owed: usize, flushed: bool) -> bool {
+    /// the listener and all clients' connections are closed (`all_closed`). From [`EXIT_OVERTIME`] after the time of
+    /// SIGKILL on, the process no longer waits for clients that read their answers too slowly.
+    pub fn may_exit(&self, now: Micros, owed: usize, all_closed: bool) -> bool {
         match self.phase {
             Phase::Ending(_) if now >= self.kill_time().saturating_add(EXIT_OVERTIME) => true,
-            Phase::Ending(since) => now >= since.saturating_add(ARRIVAL_WINDOW) && owed == 0 && flushed,
+            Phase::Ending(since) => now >= since.saturating_add(ARRIVAL_WINDOW) && owed == 0 && all_closed,
             _ => false,
         }
     }
 }
 
+/// Why a connection is kept at `now` in a drain or shutdown that began at `since`. Between [`FORCED_ANSWER_AFTER`] and
+/// [`CLOSE_DEADLINE`] a connection without a message is not kept, as it would count as held at the latter.
 fn hold_reason_since(
     since: Micros,
     wait_for_reader_until: Micros,
     now: Micros,
-    seen: ConnectionState,
+    connection: ConnectionState,
 ) -> Option<HoldReason> {
     if now < since.saturating_add(GRACE) {
         return Some(HoldReason::Grace);
     }
-    if seen.open > 0 {
+    if connection.open > 0 {
         return Some(HoldReason::OpenRequests);
     }
-    if seen.unread_until.is_some_and(|until| now < until.min(wait_for_reader_until)) {
+    if connection.unread_until.is_some_and(|until| now < until.min(wait_for_reader_until)) {
         return Some(HoldReason::UnreadAnswers);
     }
-    let late_and_silent = !seen.received_any && seen.last_active >= since;
-    let in_time = now < seen.last_active.saturating_add(FIRST_MESSAGE_TIMEOUT);
+    let late_and_silent = !connection.received_any && connection.last_active >= since;
+    let in_time = now < connection.last_active.saturating_add(FIRST_MESSAGE_TIMEOUT);
     let check_ahead =
         (since.saturating_add(FORCED_ANSWER_AFTER)..since.saturating_add(CLOSE_DEADLINE)).contains(&now);
     (late_and_silent && in_time && !check_ahead).then_some(HoldReason::FirstMessage)
@@ -519,7 +530,7 @@
             "a serving router gives up no request"
         );
         d.drain(10 * S);
-        let refused = |now, seen| d.refusal(now, 100 * S, seen);
+        let refused = |now, connection| d.refusal(now, 100 * S, connection);
         assert_eq!(refused(10 * S + BUSY_ACCEPT_TIME - 1, busy(0)), None);
         assert_eq!(refused(10 * S + BUSY_ACCEPT_TIME, busy(0)), Some(RefusalReason::Draining));
         assert_eq!(refused(12 * S - 1, idle(0)), None, "an idle connection closes after its answer");
--- a/silverspindle/src/front.rs
+++ b/silverspindle/src/front.rs
@@ -51,8 +51,9 @@
 const MAX_FAILED_ACCEPTS: usize = 50;
 /// Maximum number of connections that wait for their client's close, while others wait to be accepted.
 const MAX_CLOSING: usize = 8;
-/// Capacity of a connection's answer queue: one answer for each open request, and as many that were ready while an
-/// earlier answer was still being written.
+/// Number of open requests on a connection from which on further ones are refused. It is the capacity of the
+/// connection's answer queue, which has room for [`EXPECTED_OPEN_REQUESTS`] answers and as many that were ready while
+/// an earlier answer was still being written.
 const MAX_QUEUED_ANSWERS: usize = 2 * EXPECTED_OPEN_REQUESTS;
 /// Retry delay, in milliseconds, advised to a client that is refused before the module sees its request, where the
 /// settings enable this advice.
--- a/silverspindle/src/front/connection.rs
+++ b/silverspindle/src/front/connection.rs
@@ -231,7 +231,7 @@
         }
     }
 
-    /// When the connection is closed if nothing more arrives; none while a request is open.
+    /// When the connection is closed if nothing more arrives; none while a request is open and no message is incomplete.
     fn closes_at(&self, partial_since: Option<Micros>) -> Option<Micros> {
         match (self.received_any.get(), partial_since) {
             (false, _) => Some(self.last_active.get() + MESSAGE_TIMEOUT),
@@ -493,7 +493,7 @@
     }
 }
 
-/// How a connection ended.
+/// Why a connection ended.
 enum End {
     /// The client has closed, or no further answers can come.
     Left,
--- a/silverspindle/src/limited.rs
+++ b/silverspindle/src/limited.rs
@@ -1,25 +1,26 @@
-//! Log lines that are said once in a while, however often their cause comes.
+//! Rate limit for log lines whose cause may recur often.
 
 use bitternhold::Micros;
 
 use crate::clock;
 
-/// The same line is said again after so long.
-const SAY_AGAIN: Micros = 5_000_000;
+/// Minimum interval between two lines of the same kind, in microseconds.
+const MIN_INTERVAL: Micros = 5_000_000;
 
-/// One kind of line.
+/// Limiter of one kind of log line.
 #[derive(Debug, Default)]
 pub(crate) struct LimitedLine {
-    said: Option<Micros>,
+    /// When the line was last logged.
+    last_logged: Option<Micros>,
 }
 
 impl LimitedLine {
-    /// Whether it is said now: not where it was said shortly before.
+    /// Whether the line is to be logged now, and if so notes that it was. False within [`MIN_INTERVAL`] of the last time.
     pub fn is_due(&mut self) -> bool {
         let now = clock::now();
-        let due = self.said.is_none_or(|at| now >= at.saturating_add(SAY_AGAIN));
+        let due = self.last_logged.is_none_or(|at| now >= at.saturating_add(MIN_INTERVAL));
         if due {
-            self.said = Some(now);
+            self.last_logged = Some(now);
         }
         due
     }
--- a/silverspindle/src/management.rs
+++ b/silverspindle/src/management.rs
@@ -144,26 +144,31 @@
 pub struct Management {
     drain: Rc<RefCell<Drain>>,
     /// Wakes the front's connection sweep after a call.
-    nudge: Sender<()>,
+    drain_notifier: Sender<()>,
     open_calls: RefCell<BTreeMap<u64, Sender<()>>>,
     next_id: std::cell::Cell<u64>,
 }
 
 impl Management {
-    /// Creates a server whose calls change `drain`, which the front reads; `nudge` notifies the front of a
+    /// Creates a server whose calls change `drain`, which the front reads; `drain_notifier` notifies the front of a
     /// change.
-    pub fn new(drain: Rc<RefCell<Drain>>, nudge: Sender<()>) -> Rc<Self> {
-        Rc::new(Self { drain, nudge, open_calls: RefCell::default(), next_id: std::cell::Cell::new(0) })
+    pub fn new(drain: Rc<RefCell<Drain>>, drain_notifier: Sender<()>) -> Rc<Self> {
+        Rc::new(Self {
+            drain,
+            drain_notifier,
+            open_calls: RefCell::default(),
+            next_id: std::cell::Cell::new(0),
+        })
     }
 
     /// Accepts and serves calls; never returns.
     pub async fn listen(self: Rc<Self>, listener: Async<TcpListener>, tasks: Rc<LocalExecutor<'static>>) {
-        let mut line = LimitedLine::default();
+        let mut failure_log = LimitedLine::default();
         loop {
             let (stream, _) = match listener.accept().await {
                 Ok(accepted) => accepted,
                 Err(e) => {
-                    if line.is_due() {
+                    if failure_log.is_due() {
                         tracing::warn!("management accept: {e}");
                     }
                     Timer::after(ACCEPT_RETRY_DELAY).await;
@@ -210,7 +215,7 @@
             filled += n;
             let read = handle(&buffer[..filled], &mut self.drain.borrow_mut(), clock::now());
             if let Parsed::Response(response) = read {
-                let _ = self.nudge.try_send(());
+                let _ = self.drain_notifier.try_send(());
                 break response;
             }
         };
--- a/silverspindle/src/serve.rs
+++ b/silverspindle/src/serve.rs
@@ -177,14 +177,14 @@
             let me = identity.map_or(Source { instance, incarnation: clock::now() }, |(me, _)| me);
             let tls = tls_keys(hub.as_deref(), &terms.files)?;
             let (pending_answers, own_front) = (pending_answers.clone(), front.clone());
-            let yard = agreement::Yard {
-                board: state.clone(),
+            let surroundings = agreement::Yard {
+                state: state.clone(),
                 director: mailbox.clone(),
                 settings: site.settings.clone(),
                 classes: site.classes.clone(),
                 drain: drain.clone(),
-                nudge: front.drain_notifier(),
-                owes: Rc::new(move || pending_answers.get() > 0 || !own_front.all_answers_written()),
+                drain_notifier: front.drain_notifier(),
+                owes_answers: Rc::new(move || pending_answers.get() > 0 || !own_front.all_answers_written()),
             };
             if terms.work.is_some() {
                 state.enable_orders();
@@ -209,7 +209,7 @@
                 config.name.clone(),
                 connector,
                 tasks.clone(),
-                yard,
+                surroundings,
                 on_ready,
             );
             tasks.spawn(participation).detach();
@@ -221,7 +221,7 @@
                 let coordinator = Coordinator {
                     address: config.coordinator,
                     last: last_event,
-                    news: notice_sender,
+                    notices: notice_sender,
                     moves: new_addresses,
                     gap: None,
                 };
@@ -235,8 +235,8 @@
                     name: config.name.clone(),
                     connector: Connector { me, tls: tls_keys(hub.as_deref(), &terms.files)? },
                     tasks: tasks.clone(),
-                    board: state.clone(),
-                    cleared: purge_cleared_after,
+                    state: state.clone(),
+                    purge_cleared_after,
                     notices: notice_sender,
                     coordinator: config.coordinator,
                     moves: new_addresses,
@@ -382,7 +382,7 @@
     (descriptors, front, director): (Rc<Descriptors>, Rc<Front>, Sender<Message>),
 ) {
     let all_descriptors = descriptors.all();
-    let keep_to = |sockets_left: usize, memory_left: usize| {
+    let apply_limits = |sockets_left: usize, memory_left: usize| {
         // Clients move from one process to the other, and both together use the third reserved for clients.
         // The reduction therefore applies to the peers' descriptors.
         descriptors
@@ -393,10 +393,10 @@
     };
     tracing::info!("an older process serves beside this one: both keep to one limit");
     while let Some((used_descriptors, used_memory)) = process_file.older_usage() {
-        keep_to(remaining_limit(sockets, used_descriptors), remaining_limit(memory, used_memory));
+        apply_limits(remaining_limit(sockets, used_descriptors), remaining_limit(memory, used_memory));
         Timer::after(OLDER_PROCESS_POLL_INTERVAL).await;
     }
-    keep_to(sockets, memory);
+    apply_limits(sockets, memory);
     tracing::info!("the older process has ended: the limits are this one's");
 }
 
--- a/silverspindle/src/upstream.rs
+++ b/silverspindle/src/upstream.rs
@@ -93,7 +93,8 @@
     /// connection for [`ABANDONED_ID_LIFETIME`].
     abandoned: HashMap<Bytes, Micros>,
     last_used: Micros,
-    /// An attempt timed out and nothing was received from the peer since the attempt was queued on a connection.
+    /// A probe timed out here, or an attempt timed out and nothing was received from the peer since it was queued on a
+    /// connection. No new attempts until an answer is received here.
     silent: bool,
     /// No new attempts; the connection is closed when those in flight are finished.
     closing: bool,
@@ -300,9 +301,12 @@
         let best = usable.min_by_key(|(n, c)| (c.streams.len(), !c.established, **n));
         let best = best.map(|(n, c)| (*n, c.streams.len()));
         let has_spare = self.shared.descriptors.has_spare();
-        let cheaper = |streams: usize| streams as f64 * self.break_share < self.shared.site.handshake_cost;
+        let sharing_is_cheaper =
+            |streams: usize| streams as f64 * self.break_share < self.shared.site.handshake_cost;
         match best {
-            Some((n, streams)) if streams == 0 || !has_spare || cheaper(streams) => return Some(n),
+            Some((n, streams)) if streams == 0 || !has_spare || sharing_is_cheaper(streams) => {
+                return Some(n);
+            }
             _ => {}
         }
         let Some(descriptor) = self.shared.descriptors.take() else {
@@ -387,7 +391,7 @@
     fn abandon(&mut self, attempt: &Rc<Attempt>, timed_out: bool) {
         let id = attempt.call.rid.as_bytes();
         let queued_since = |s: Option<&Stream>| match s {
-            Some(Stream::Attempt(out, since)) if out.ticket == attempt.ticket => Some(*since),
+            Some(Stream::Attempt(queued, since)) if queued.ticket == attempt.ticket => Some(*since),
             _ => None,
         };
         let Some((connection, since)) = self
--- a/silverspindle/tests/crossing_lists.rs
+++ b/silverspindle/tests/crossing_lists.rs
@@ -22,7 +22,7 @@
     let (listener, address) = listen();
     let (sender, updates) = async_channel::bounded(64);
     let (moves, moves_receiver) = async_channel::bounded(4);
-    let actor = Coordinator { address, last: 1, news: sender, moves: moves_receiver, gap: None };
+    let actor = Coordinator { address, last: 1, notices: sender, moves: moves_receiver, gap: None };
     tasks.spawn(actor.run()).detach();
     FollowerHarness { listener, updates, moves }
 }
@@ -170,7 +170,7 @@
         let (listener, address) = listen();
         let (sender, received) = async_channel::bounded(64);
         let (_, moves) = async_channel::bounded(1);
-        let actor = Coordinator { address, last: 1, news: Timed(sender), moves, gap: None };
+        let actor = Coordinator { address, last: 1, notices: Timed(sender), moves, gap: None };
         tasks.spawn(actor.run()).detach();
         let (stream, _) = accept_follower(&listener).await;
         (&stream).write_all(&event(1, 0, b"")).await.unwrap();
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -108,31 +108,37 @@
 /// Two ageing generations of object ids (Algorithm 1 of the paper, with sets in place of its Bloom filters).
 #[derive(Debug, Default)]
 pub struct AgeingFilter {
+    /// The generation that new ids are added to.
     active: BTreeSet<u64>,
+    /// The generation before it.
     passive: BTreeSet<u64>,
+    /// Ids seen by other directors.
     inherited: BTreeSet<u64>,
-    generation: usize,
-    quiet: Micros,
+    /// Number of ids in a full generation.
+    generation_size: usize,
+    /// Time without a new id after which the generations are swapped.
+    idle_time: Micros,
+    /// When an id was last added.
     last_added: Micros,
 }
 
 impl AgeingFilter {
-    /// Creates a filter whose generations hold `generation` ids each and are also swapped after `quiet`
-    /// without a new id.
-    pub fn new(generation: usize, quiet: Micros) -> Self {
-        Self { generation: generation.max(1), quiet, ..Self::default() }
+    /// Creates a filter whose generations hold `generation_size` ids each and are also swapped after
+    /// `idle_time` without a new id.
+    pub fn new(generation_size: usize, idle_time: Micros) -> Self {
+        Self { generation_size: generation_size.max(1), idle_time, ..Self::default() }
     }
 
     /// Returns whether the id was seen recently, and records it as seen.
     pub fn seen(&mut self, now: Micros, id: u64) -> bool {
-        if now.saturating_sub(self.last_added) >= self.quiet {
+        if now.saturating_sub(self.last_added) >= self.idle_time {
             self.swap();
             self.last_added = now;
         }
         let known = [&self.active, &self.passive, &self.inherited].iter().any(|ids| ids.contains(&id));
         if self.active.insert(id) {
             self.last_added = now;
-            if self.active.len() >= self.generation {
+            if self.active.len() >= self.generation_size {
                 self.swap();
             }
         }
@@ -467,15 +473,15 @@
         candidates.collect()
     }
 
-    /// Picks the able candidate with the best standing and, among equals, the lowest rank. Standings from the
-    /// best: trusted and not overloaded; trusted; not at fault for this request; any.
+    /// Picks the eligible candidate with the best standing and, among equals, the lowest rank. Standings from
+    /// the best: trusted and not overloaded; trusted; not at fault for this request; any.
     fn pick(
         &self,
         now: Micros,
         members: &[Candidate],
         at_fault: &[MemberId],
         load: impl Fn(&Peer) -> u32,
-        able: impl Fn(&Peer) -> bool,
+        eligible: impl Fn(&Peer) -> bool,
     ) -> Option<(MemberId, u8)> {
         let sum = |(total, shares), m: &Candidate| (total + f64::from(load(m.peer)), shares + m.share);
         let (total, shares) = members.iter().fold((1.0, 1e-9), sum);
@@ -491,10 +497,13 @@
             }
         };
         // Usually the first in rank has the best standing and the others need not be compared.
-        let first =
-            members.iter().min_by_key(|m| m.rank).filter(|m| standing(m) == BEST_STANDING && able(m.peer));
-        let all =
-            || members.iter().filter(|m| able(m.peer)).min_by_key(|m| (BEST_STANDING - standing(m), m.rank));
+        let first = members
+            .iter()
+            .min_by_key(|m| m.rank)
+            .filter(|m| standing(m) == BEST_STANDING && eligible(m.peer));
+        let all = || {
+            members.iter().filter(|m| eligible(m.peer)).min_by_key(|m| (BEST_STANDING - standing(m), m.rank))
+        };
         first.or_else(all).map(|m| (m.rank.1, standing(m)))
     }
 
@@ -548,25 +557,25 @@
         out: &mut Vec<Action>,
     ) {
         let (member, all_notes) = (attempt.member, self.settings.detail == Detail::All);
-        let via = attempt.source.unwrap_or(member);
+        let source = attempt.source.unwrap_or(member);
         match (o.status, o.note) {
             (Status::Ok, Some(Note::Hit | Note::Stale)) if late => self.record_fault(now, member, FAULT, out),
             (Status::Ok, note) => {
                 self.record_success(member, out);
                 if matches!(note, Some(Note::Filled | Note::FilledByOrigin)) {
-                    self.record_success(via, out);
+                    self.record_success(source, out);
                 }
             }
             (_, Some(Note::SourceRefused | Note::SourceUnreachable)) => {
-                self.record_fault(now, via, FAULT, out)
+                self.record_fault(now, source, FAULT, out)
             }
             (_, Some(Note::OriginFailed | Note::SourceLacks | Note::FillsFull)) => {}
             (Status::ConnectFailed, _) => self.record_fault(now, member, CONNECT_FAULT, out),
             // The client's deadline was short: the attempt was not late yet.
             (Status::Timeout, _) if !late => {}
             (Status::Reset | Status::Timeout, _) => self.record_fault(now, member, FAULT, out),
-            (Status::Error | Status::Full, _) if !all_notes && via != member => {
-                self.record_fault(now, via, FAULT, out)
+            (Status::Error | Status::Full, _) if !all_notes && source != member => {
+                self.record_fault(now, source, FAULT, out)
             }
             _ => {}
         }
@@ -594,9 +603,8 @@
 
     // ---- 4. Life of a request ----
 
-    /// Terms of a class.
+    /// Settings of a class; an unknown class is treated as the most restrictive one.
     fn class(&self, class: usize) -> Class {
-        // An unknown class is treated as the most restrictive one.
         let unknown = || Class { idempotency: Idempotency::AtMostOnce, write: true, ..Class::default() };
         self.settings.classes.get(class).cloned().unwrap_or_else(unknown)
     }
@@ -650,8 +658,8 @@
     }
 
     /// Maximum age of an acceptable copy, where the class has a fresh time. A stale copy earns less than a
-    /// fresh one, but more than a fill while many of them are late, or than a refusal where there is no room
-    /// for one.
+    /// fresh one, but more than a fill while many of them are late, or than a refusal where there is no
+    /// `room` for one.
     fn max_copy_age(&self, class: usize, room: bool) -> Option<Micros> {
         let c = self.class(class);
         let late = self.late_fill_rates.get(class).copied().unwrap_or(0.0) * (1.0 - c.late_worth);
@@ -788,7 +796,7 @@
         }
     }
 
-    /// Whether fills are in time.
+    /// Whether fills are usually in time: late ones are below half the share that means congestion.
     fn fills_in_time(&self) -> bool {
         self.fill_limit.late_rate.max(self.origin_limit.late_rate) < CONGESTED_LATE_RATE / 2.0
     }
@@ -812,8 +820,8 @@
     /// Marks a member as at fault for the request after a lost answer, if the answer was lost before or the
     /// member often fails or is late. Otherwise it is asked once more.
     fn record_loss(&self, open: &mut OpenRequest, member: MemberId) {
-        let again = open.attempts.iter().filter(|a| a.member == member).count() > 1;
-        if again
+        let repeated = open.attempts.iter().filter(|a| a.member == member).count() > 1;
+        if repeated
             || self.peers.get(&member).is_none_or(|p| {
                 p.fault_rate > QUARANTINE_FAULT_RATE || p.concurrency.late_rate > CONGESTED_LATE_RATE
             })
@@ -831,9 +839,9 @@
         // Parts of segmented objects are spread over the caches; filter and parent go by the whole object.
         let cache_key = if class.segmented { mix(open.key ^ mix(open.request.part + 1)) } else { open.key };
         let caches = self.candidates(now, cache_key, CACHES);
-        let able =
+        let eligible =
             |p: &Peer| self.may_send(now, open, p, &class) && p.concurrency.admits(p.in_flight, chance);
-        let Some((member, _)) = self.pick(now, &caches, &open.at_fault, |p| p.in_flight, able) else {
+        let Some((member, _)) = self.pick(now, &caches, &open.at_fault, |p| p.in_flight, eligible) else {
             return false;
         };
         let mut source = self.fill_source(now, open, write, chance).unwrap_or(member);
@@ -896,11 +904,14 @@
     fn fill_source(&self, now: Micros, open: &OpenRequest, write: bool, chance: f64) -> Option<MemberId> {
         let parents = self.candidates(now, open.key, PARENTS);
         let origin = self.ready[ORIGIN].first().copied();
-        let able = |p: &Peer| self.within_cold_budget(now, p, self.send_time(&open.request));
-        let free = |p: &Peer| able(p) && p.concurrency.admits(p.fills, chance);
+        let eligible = |p: &Peer| self.within_cold_budget(now, p, self.send_time(&open.request));
+        let free = |p: &Peer| eligible(p) && p.concurrency.admits(p.fills, chance);
         let trusted = |found: &(MemberId, u8)| found.1 > u8::from(origin.is_some());
-        let pick = |able: &dyn Fn(&Peer) -> bool| self.pick(now, &parents, &open.at_fault, |p| p.fills, able);
-        let parent = pick(&free).filter(trusted).or_else(|| pick(&able).filter(trusted)).map(|(id, _)| id);
+        let pick = |eligible: &dyn Fn(&Peer) -> bool| {
+            self.pick(now, &parents, &open.at_fault, |p| p.fills, eligible)
+        };
+        let parent =
+            pick(&free).filter(trusted).or_else(|| pick(&eligible).filter(trusted)).map(|(id, _)| id);
         if write { origin.or(parent) } else { parent.or(origin) }
     }
 
@@ -1013,7 +1024,7 @@
         // Without notes a refusal or an error counts against the source first, then against the cache.
         let unexplained =
             self.settings.detail != Detail::All && matches!(o.status, Status::Full | Status::Error);
-        let again = open.attempts.iter().filter(|a| a.member == o.member).count() > 1;
+        let repeated = open.attempts.iter().filter(|a| a.member == o.member).count() > 1;
         let source_fault =
             matches!(o.note, Some(Note::SourceRefused | Note::SourceUnreachable | Note::OriginFailed));
         match attempt.source {
@@ -1026,7 +1037,7 @@
                     if joined { self.count_late_fill(now, a) } else { self.release(a) }
                 }
             }
-            Some(source) if source_fault || (unexplained && !again) => open.at_fault.push(source),
+            Some(source) if source_fault || (unexplained && !repeated) => open.at_fault.push(source),
             _ if matches!(o.status, Status::Reset | Status::Timeout) => self.record_loss(&mut open, o.member),
             _ => open.at_fault.push(o.member),
         }
@@ -1086,11 +1097,11 @@
         // An own copy, even a stale one, is better than a refusal.
         let max_age = self.max_copy_age(open.request.class, false);
         let due = open.attempts.first().map_or(now, |a| a.sent_at) + self.aim(&open.request);
-        let soon = open
+        let in_time = open
             .request
             .own_copy
             .is_some_and(|own| now + own.delivery_time < due.min(open.request.valid_until));
-        if soon && self.own_copy_acceptable(now, &open.request, open.key, max_age) {
+        if in_time && self.own_copy_acceptable(now, &open.request, open.key, max_age) {
             open.own_copy_wanted = true;
             return out.push(Action::Own { id });
         }
@@ -1111,8 +1122,8 @@
     /// Records a purge and removes those that are complete.
     fn record_purge(&mut self, now: Micros, object: Option<String>, group: u64, age: Micros) {
         let at = now.saturating_sub(age);
-        let done = self.settings.purge_complete_within + self.settings.purge_grace;
-        let expired = |at: Micros| now.saturating_sub(at) > done;
+        let lifetime = self.settings.purge_complete_within + self.settings.purge_grace;
+        let expired = |at: Micros| now.saturating_sub(at) > lifetime;
         while let Some((_, key)) = self.purge_reports.pop_front_if(|(reported, _)| expired(*reported)) {
             if self.purges.get(&key).is_some_and(|at| expired(*at)) {
                 self.purges.remove(&key);
@@ -1126,7 +1137,7 @@
     /// Maximum age that excludes copies from before a purge, while such copies may still exist. Never 0,
     /// which means no limit.
     fn max_age_after_purge(&self, now: Micros, key: u64, group: u64) -> Option<Micros> {
-        let purges = [(key, false), (group, true), (ALL_GROUPS, true)].map(|what| self.purges.get(&what));
+        let purges = [(key, false), (group, true), (ALL_GROUPS, true)].map(|purged| self.purges.get(&purged));
         let age = now.saturating_sub(*purges.into_iter().max().flatten()?);
         let relevant = age <= self.settings.purge_complete_within + self.settings.purge_grace;
         relevant.then(|| age.saturating_sub(1_000).max(1))
@@ -1149,14 +1160,14 @@
                     }
             }
         };
-        let single = self.settings.second_copies || open.attempts.iter().all(|a| a.ended);
+        let copy_allowed = self.settings.second_copies || open.attempts.iter().all(|a| a.ended);
         let (ready, send_time) =
             (peer.entry.lifecycle == Lifecycle::Ready, self.mean_send_time(open.request.class));
         let in_time = now < open.request.valid_until;
         ready
             && attempts_left
             && repeatable
-            && single
+            && copy_allowed
             && in_time
             && self.within_cold_budget(now, peer, send_time)
     }
@@ -1164,9 +1175,10 @@
     /// Whether the request may be refused: a refusal promises that a retry is safe.
     fn may_refuse(&self, open: &OpenRequest) -> bool {
         let class = self.class(open.request.class);
-        let dropped = class.idempotency == Idempotency::Deduplicated && class.dedup_group == DedupGroup::All;
+        let repeats_dropped =
+            class.idempotency == Idempotency::Deduplicated && class.dedup_group == DedupGroup::All;
         let ran = |a: &Attempt| !a.ended || a.may_have_run;
-        class.idempotency == Idempotency::Idempotent || dropped || !open.attempts.iter().any(ran)
+        class.idempotency == Idempotency::Idempotent || repeats_dropped || !open.attempts.iter().any(ran)
     }
 
     /// Whether one more attempt stays within this director's share of a cold member's budget for a window.
@@ -1207,7 +1219,8 @@
         spent + send_time <= budget || (send_time > budget && spent == 0.0 && has_turn && !used)
     }
 
-    /// Records a send in the cold member's budget and among the attempts in flight.
+    /// Records a send to a member: its sending time for the budget of a cold member, and with `count` the
+    /// attempt in flight.
     fn record_send(&mut self, now: Micros, id: MemberId, send_time: f64, count: fn(&mut Peer)) {
         let window = self.settings.overload_window;
         let Some(p) = self.peers.get_mut(&id) else { return };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -39,10 +39,10 @@
     Cell,
 }
 
-/// Terms of a class of requests.
+/// Settings of a class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Latency target: answered within this time plus `aim_stretch`, a request earns its full worth.
+    /// Latency target: a request answered within this time, extended by `aim_stretch`, earns its full worth.
     pub aim: Micros,
     /// The aim is extended by this multiple of the time it takes to send the answer.
     pub aim_stretch: f64,
--- a/wire/src/feed.rs
+++ b/wire/src/feed.rs
@@ -116,7 +116,7 @@
     let index = value["index"].as_u64().ok_or("known.index: must be a whole number")?;
     let updates = value["updates"].as_array().ok_or("known.updates: must be a list")?;
     let events = updates.iter().enumerate().map(|(i, v)| {
-        let malformed = |what: &str| format!("known.updates[{i}].{what}: missing or malformed");
+        let malformed = |key: &str| format!("known.updates[{i}].{key}: missing or malformed");
         let update = if let Some(list) = v.get("endpoints") {
             let entries = list["members"].as_array().ok_or_else(|| malformed("endpoints.members"))?;
             let members = entries
--- a/wire/src/thrift.rs
+++ b/wire/src/thrift.rs
@@ -192,19 +192,19 @@
 pub fn encode_answer(
     method: &str,
     seq: i32,
-    body: usize,
+    body_length: usize,
     fields: &[(&str, &str)],
     good: bool,
 ) -> [Vec<u8>; 2] {
     let mut head = begin_frame(REPLY, method, seq);
     put_field_header(&mut head, STRUCT, 0);
     put_field_header(&mut head, STRING, 1);
-    head.extend((body as u32).to_be_bytes());
+    head.extend((body_length as u32).to_be_bytes());
     let mut tail = Vec::new();
     put_string_map(&mut tail, 2, fields);
     put_field_header(&mut tail, BOOL, 3);
     tail.extend([u8::from(good), STOP, STOP]);
-    write_length(&mut head, body + tail.len());
+    write_length(&mut head, body_length + tail.len());
     [head, tail]
 }
 
--- a/wirehost/src/codec.rs
+++ b/wirehost/src/codec.rs
@@ -82,6 +82,7 @@
     format!("{}-{}-{}-{}-{}", &h[..8], &h[8..12], &h[12..16], &h[16..20], &h[20..])
 }
 
+/// Status for the simulator's number.
 fn status(v: &Value) -> Option<Status> {
     Some(match v.as_u64()? {
         0 => Status::Ok,
@@ -97,6 +98,7 @@
     })
 }
 
+/// Note for the simulator's number; the inner `None` for a number that is no note.
 fn note(v: &Value) -> Option<Option<Note>> {
     Some(match v.as_u64()? {
         1 => Some(Note::Hit),
@@ -132,15 +134,15 @@
         for part in batch.required("parts", Value::as_array)? {
             let fields = part.as_object().ok_or("message 'parts': not an object")?;
             let part = Message { name: "parts", fields };
-            let who = part.number("who")?;
-            for news in part.required("news", Value::as_array)? {
-                let fields = news.as_object().ok_or("message 'news': not an object")?;
+            let instance_id = part.number("who")?;
+            for event in part.required("news", Value::as_array)? {
+                let fields = event.as_object().ok_or("message 'news': not an object")?;
                 let name = Message { name: "news", fields }.text("m")?;
-                self.event(now, who, &Message { name, fields })?;
+                self.event(now, instance_id, &Message { name, fields })?;
             }
             if !self.actions.is_empty() {
                 let comma = if first_part { "" } else { "," };
-                write!(reply, "{comma}{{\"who\":{who},\"do\":[").expect("writes to a string");
+                write!(reply, "{comma}{{\"who\":{instance_id},\"do\":[").expect("writes to a string");
                 first_part = false;
                 for (i, action) in self.actions.drain(..).enumerate() {
                     reply.push_str(if i > 0 { "," } else { "" });
@@ -153,13 +155,14 @@
         Ok(())
     }
 
-    fn event(&mut self, now: Micros, who: u64, msg: &Message) -> MessageResult<()> {
+    /// Handles one event of a batch: creates or removes instances, defines lists, or passes the event to its instance.
+    fn event(&mut self, now: Micros, instance_id: u64, msg: &Message) -> MessageResult<()> {
         match msg.name {
             "configure" => {
                 let options = msg.required("options", Value::as_object)?;
                 let site = SiteSettings::parse(options);
                 let director = Director::new(msg.number("prng")?, site.settings.clone());
-                self.instances.insert(who, Instance { director, site });
+                self.instances.insert(instance_id, Instance { director, site });
                 return Ok(());
             }
             "define_list" => {
@@ -167,12 +170,12 @@
                 return Ok(());
             }
             "retire" => {
-                self.instances.remove(&who);
+                self.instances.remove(&instance_id);
                 return Ok(());
             }
             _ => {}
         }
-        let Some(instance) = self.instances.get_mut(&who) else { return Ok(()) };
+        let Some(instance) = self.instances.get_mut(&instance_id) else { return Ok(()) };
         let event = match msg.name {
             "fleet" => {
                 let kind = match msg.number("kind")? {
@@ -305,8 +308,8 @@
         Action::Probe { member } => write!(out, r#"{{"m":"check","node":{}}}"#, member.0),
         Action::Watch => write!(out, r#"{{"m":"stream_changes","on":true}}"#),
         Action::FetchList => write!(out, r#"{{"m":"resolve"}}"#),
-        Action::Log(words) => {
-            let line = format!("{:.1}s {words}", now as f64 / 1e6);
+        Action::Log(text) => {
+            let line = format!("{:.1}s {text}", now as f64 / 1e6);
             write!(out, r#"{{"m":"journal_line","words":{}}}"#, Value::from(line))
         }
     };
