--- a/silverspindle/src/copies.rs
+++ b/silverspindle/src/copies.rs
@@ -56,7 +56,7 @@
     confirmed_at: Cell<Micros>,
     /// Group of the object.
     group: u64,
-    /// Number of its last use, the key in [`Copies::order`].
+    /// Number of its last use, its key in `Copies::by_last_use`.
     used: Cell<u64>,
     _charge: MemoryCharge,
 }
@@ -92,7 +92,7 @@
     copies: BTreeMap<Key, Rc<Copy>>,
     /// Keys by the number of the last use, least recently used first.
     by_last_use: BTreeMap<u64, Key>,
-    /// Number of uses so far.
+    /// Number of the most recent use.
     last_use: u64,
     /// Recent purges: the time of the purge, and when it was received.
     purges: BTreeMap<PurgeTarget, (Stamp, Micros)>,
@@ -105,8 +105,8 @@
 }
 
 impl Copies {
-    /// An empty store with a memory limit of `room` bytes, on a link with these rates in bytes per second for
-    /// a single transfer and for all together. Without these rates no copies are kept.
+    /// An empty store with a memory limit of `memory_limit` bytes, on a link with these rates in bytes per
+    /// second for a single transfer and for all together. Without these rates no copies are kept.
     pub fn new(memory_limit: usize, flow_rate: f64, link_rate: f64) -> Self {
         let memory_limit = if flow_rate > 0.0 && link_rate > 0.0 { memory_limit } else { 0 };
         Self { memory_limit, flow_rate, link_rate, ..Self::default() }
--- a/silverspindle/src/director.rs
+++ b/silverspindle/src/director.rs
@@ -94,12 +94,15 @@
     settings: Settings,
     shared: Rc<Shared>,
     pending_answers: Rc<PendingAnswers>,
+    /// Mailboxes of the peer actors by member.
     peers: HashMap<MemberId, Sender<PeerMessage>>,
     requests: HashMap<RequestId, OpenRequest>,
     /// Open requests by client connection and sequence number.
     by_client: BTreeMap<(u64, i32), RequestId>,
+    /// Attempts in flight by ticket.
     attempts: HashMap<u64, InFlight>,
-    due_timers: BTreeMap<(Micros, u64), TimerKind>,
+    /// Timers by due time, with a number that makes the key unique.
+    timers: BTreeMap<(Micros, u64), TimerKind>,
     /// Events for the module that arose while its actions were carried out.
     backlog: VecDeque<Event>,
     actions: Vec<Action>,
@@ -115,6 +118,7 @@
     stale_reported_at: Option<Micros>,
     counters: Rc<Counters>,
     start_peer: StartPeer,
+    /// Last number given to a request, an attempt, a timer or an address of a peer.
     last_number: u64,
 }
 
@@ -136,7 +140,7 @@
             requests: HashMap::new(),
             by_client: BTreeMap::new(),
             attempts: HashMap::new(),
-            due_timers: BTreeMap::new(),
+            timers: BTreeMap::new(),
             backlog: VecDeque::new(),
             actions: Vec::new(),
             copies,
@@ -161,7 +165,10 @@
     }
 
     /// Replaces the function that starts members' actors. The default is [`Peer::start`].
-    pub fn start_peers_by(&mut self, start: impl Fn(MemberId, SocketAddr) -> Sender<PeerMessage> + 'static) {
+    pub fn set_peer_starter(
+        &mut self,
+        start: impl Fn(MemberId, SocketAddr) -> Sender<PeerMessage> + 'static,
+    ) {
         self.start_peer = Box::new(start);
     }
 
@@ -317,11 +324,11 @@
         }
     }
 
-    /// Sends an order that must not be lost, even if the mailbox is full.
-    fn send_to_peer(&self, peer: &Sender<PeerMessage>, order: PeerMessage) {
-        if let Err(async_channel::TrySendError::Full(order)) = peer.try_send(order) {
+    /// Sends a message that must not be lost to a peer actor, even if the mailbox is full.
+    fn send_to_peer(&self, peer: &Sender<PeerMessage>, message: PeerMessage) {
+        if let Err(async_channel::TrySendError::Full(message)) = peer.try_send(message) {
             let peer = peer.clone();
-            self.shared.tasks.spawn(async move { drop(peer.send(order).await) }).detach();
+            self.shared.tasks.spawn(async move { drop(peer.send(message).await) }).detach();
         }
     }
 
@@ -370,6 +377,7 @@
         }
     }
 
+    /// Handles a request: refuses it if the agreed rules say so, otherwise passes it to the module.
     fn handle_request(&mut self, client: Rc<dyn ClientHandle>, seq: i32, call: Call) {
         // A sequence number that is already open can't be answered twice: the later request fails.
         if self.by_client.contains_key(&(client.id(), seq)) {
@@ -391,7 +399,7 @@
         self.by_client.insert((client.id(), seq), id);
         let now = self.now();
         let copy = self.offered_copy(now, &call);
-        let own = copy.as_ref().map(|copy| OwnCopy {
+        let own_copy = copy.as_ref().map(|copy| OwnCopy {
             age: self.skew.copy_age(now, copy.stamp),
             since_cache_hit: now.saturating_sub(copy.confirmed_at()),
             delivery_time: self.copies.transfer_time(now, copy.bytes(call.holds(&copy.tag))),
@@ -412,7 +420,7 @@
         self.pending_answers.set(self.pending_answers.get() + 1);
         self.set_timer(call.deadline + FALLBACK_FAIL_DELAY, TimerKind::Request(id));
         self.handle_event(Event::Request(Request {
-            own_copy: own,
+            own_copy,
             id,
             class: call.class,
             object: call.object.to_ascii_lowercase(),
@@ -430,20 +438,20 @@
     }
 
     /// Sets a timer.
-    fn set_timer(&mut self, at: Micros, due: TimerKind) {
+    fn set_timer(&mut self, at: Micros, kind: TimerKind) {
         self.last_number += 1;
-        self.due_timers.insert((at, self.last_number), due);
+        self.timers.insert((at, self.last_number), kind);
     }
 
     /// Returns when the next timer is due.
     pub fn next_timer(&self) -> Option<Micros> {
-        self.due_timers.keys().next().map(|(at, _)| *at)
+        self.timers.keys().next().map(|(at, _)| *at)
     }
 
     /// Runs the timers that are due.
     pub fn run_due_timers(&mut self) {
         let now = self.now();
-        while let Some(entry) = self.due_timers.first_entry().filter(|e| e.key().0 <= now) {
+        while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             match entry.remove() {
                 TimerKind::Module(token) => self.handle_event(Event::Timer { token }),
                 TimerKind::Attempt(ticket) => self.end_attempt(ticket, Status::Timeout),
@@ -489,8 +497,8 @@
             }
             Action::Cancel { id, attempt } => {
                 let tickets = self.requests.get(&id).map(|open| open.in_flight.clone()).unwrap_or_default();
-                let named = |t: &u64| self.attempts.get(t).is_some_and(|o| o.number == attempt);
-                if let Some(ticket) = tickets.into_iter().find(named) {
+                let is_this = |t: &u64| self.attempts.get(t).is_some_and(|o| o.number == attempt);
+                if let Some(ticket) = tickets.into_iter().find(is_this) {
                     self.end_attempt(ticket, Status::Cancelled);
                 }
             }
--- a/silverspindle/src/director/attempts.rs
+++ b/silverspindle/src/director/attempts.rs
@@ -76,7 +76,7 @@
         closed
     }
 
-    /// Ends an attempt from the director's side, because its result is no longer needed.
+    /// Ends an attempt from the director's side, because it has timed out or the module has cancelled it.
     pub(super) fn end_attempt(&mut self, ticket: u64, status: Status) {
         let Some(in_flight) = self.attempts.get(&ticket) else { return };
         in_flight.attempt.abandoned.set(true);
--- a/silverspindle/src/director/freshness.rs
+++ b/silverspindle/src/director/freshness.rs
@@ -34,9 +34,9 @@
         self.shared.state.max_copy_age().is_none_or(|max_age| self.skew.copy_age(now, stamp) < max_age)
     }
 
-    /// While the feed's lease has run out, tells the module that copies as old as the lease may be purged.
-    /// This is repeated before the age has grown past the lease, because an attempt with a higher age limit
-    /// is never written.
+    /// While the feed's lease has run out, tells the module that copies as old as the lease may have been
+    /// purged. This is repeated before the age has grown past the lease, because an attempt with a higher age
+    /// limit is never written.
     pub(super) fn report_stale_feed(&mut self) {
         let Some(max_age) = self.shared.state.max_cache_copy_age() else {
             self.stale_reported_at = None;
--- a/silverspindle/src/director/own_copies.rs
+++ b/silverspindle/src/director/own_copies.rs
@@ -43,13 +43,13 @@
         let (call, now) = (open.call.clone(), self.now());
         let class = self.settings.classes.get(call.class).filter(|c| !c.write);
         let unproven = SafeToRetry::unproven(OWN_COPY_LOSS);
-        let counts_to = if unproven.is_some() { now } else { open.received_at };
-        let age = |copy: &Copy| self.skew.copy_age(counts_to, copy.stamp);
-        let good =
+        let age_until = if unproven.is_some() { now } else { open.received_at };
+        let age = |copy: &Copy| self.skew.copy_age(age_until, copy.stamp);
+        let is_usable =
             |copy: &Copy| class.is_some_and(|c| c.fresh_for == 0 || age(copy) < c.fresh_for + c.stale_for);
         let loss = match &open.own_copy {
             None => CopyLoss::Purged,
-            Some(copy) if !good(copy) => CopyLoss::Aged,
+            Some(copy) if !is_usable(copy) => CopyLoss::Aged,
             Some(copy) if !self.is_covered_by_lease(now, copy.stamp) => CopyLoss::Unconfirmed,
             Some(copy) => {
                 let (copy, holds) = (copy.clone(), call.holds(&copy.tag));
@@ -72,8 +72,8 @@
     /// Makes open requests release the own copies that a purge applies to.
     pub(super) fn release_purged_copies(&mut self, what: PurgeTarget, at: Stamp) {
         for open in self.requests.values_mut() {
-            let (call, own) = (&open.call, &mut open.own_copy);
-            *own = own
+            let (call, own_copy) = (&open.call, &mut open.own_copy);
+            *own_copy = own_copy
                 .take()
                 .filter(|copy| !call.object_key().is_some_and(|key| copy.is_covered_by(key, what, at)));
         }
--- a/silverspindle/src/skew.rs
+++ b/silverspindle/src/skew.rs
@@ -10,11 +10,11 @@
 
 use crate::clock::Stamp;
 
-/// Maximum error that a time stamp is taken as evidence for, in microseconds. Stamps further ahead are
-/// ignored: the operators' clocks are wrong by an hour at most.
+/// Maximum lead of a time stamp over the own clock that is taken as a sign that the clock is behind, in
+/// microseconds. Stamps further ahead are ignored: the operators' clocks are wrong by an hour at most.
 const MAX_AHEAD: Micros = 2 * 3600 * 1_000_000;
 
-/// Bounds on the error of the own clock.
+/// What is known of the error of the own clock.
 #[derive(Debug, Default)]
 pub struct Skew {
     /// Largest amount by which a stamp was ahead of the own clock.
--- a/silverspindle/src/traffic.rs
+++ b/silverspindle/src/traffic.rs
@@ -72,7 +72,7 @@
 
     /// Whether the client holds the copy with this tag.
     pub(crate) fn holds(&self, tag: &[u8]) -> bool {
-        self.client_tag.as_ref().is_some_and(|tag_held| tag_held.as_bytes() == tag)
+        self.client_tag.as_ref().is_some_and(|held| held.as_bytes() == tag)
     }
 }
 
@@ -110,22 +110,22 @@
 #[derive(Debug, Default)]
 pub struct BodyReservation {
     /// Bytes that all open writes take together.
-    all: Rc<Cell<usize>>,
+    total: Rc<Cell<usize>>,
     /// Bytes of this one.
-    own: usize,
+    bytes: usize,
 }
 
 impl BodyReservation {
     /// Adds this number of bytes to the total of all open writes, until dropped.
-    pub fn new(all: &Rc<Cell<usize>>, own: usize) -> Self {
-        all.set(all.get() + own);
-        Self { all: all.clone(), own }
+    pub fn new(total: &Rc<Cell<usize>>, bytes: usize) -> Self {
+        total.set(total.get() + bytes);
+        Self { total: total.clone(), bytes }
     }
 }
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.all.set(self.all.get() - self.own);
+        self.total.set(self.total.get() - self.bytes);
     }
 }
 
@@ -212,6 +212,7 @@
 #[derive(Debug)]
 pub struct Descriptors {
     total: usize,
+    /// Descriptors not in use.
     left: Cell<usize>,
     /// Descriptors left to an older process during an upgrade.
     reserved: Cell<usize>,
@@ -261,7 +262,7 @@
 pub struct FetchOptions {
     /// The member from which a miss is filled; `None`: a miss is not filled.
     pub source: Option<MemberId>,
-    /// How long the cache is to keep the copy.
+    /// Rank at which the cache keeps the copy.
     pub keep: Keep,
     /// Maximum age of the copy; `None`: the fresh time of the class.
     pub max_age: Option<Micros>,
@@ -309,9 +310,9 @@
 
 impl Attempt {
     /// Encodes the attempt as a command to the member.
-    pub(crate) fn command(&self, names: &SiteSettings) -> Vec<u8> {
+    pub(crate) fn command(&self, site: &SiteSettings) -> Vec<u8> {
         let call = &*self.call;
-        let class = names.classes.get(call.class).map_or("", String::as_str);
+        let class = site.classes.get(call.class).map_or("", String::as_str);
         // Times are rounded down, to a shorter wait and a younger copy, but not to 0, which would mean the
         // fresh time.
         let ttl = (self.deadline.saturating_sub(clock::now()) / 1000).max(1);
@@ -400,7 +401,7 @@
     /// During an upgrade, descriptors left to the older process are not taken, and descriptors in use are
     /// kept.
     #[test]
-    fn descriptors_keep_to_their_part_while_an_older_process_stands_beside() {
+    fn descriptors_are_left_to_an_older_process_during_an_upgrade() {
         let all = Descriptors::new(4);
         let held: Vec<_> = (0..3).filter_map(|_| all.take()).collect();
         all.set_limit(2);
--- a/silverspindle/src/traffic/board.rs
+++ b/silverspindle/src/traffic/board.rs
@@ -138,8 +138,8 @@
         *self.rules.borrow_mut() = Some(rules);
     }
 
-    /// Sets the lease of the feed of purges. `cleared` is the time after a purge by which the caches have
-    /// dropped all older copies.
+    /// Sets the lease of the feed of purges. `purge_complete_within` is the time after a purge
+    /// by which the caches have dropped all older copies.
     pub fn set_lease(&self, lease: Rc<dyn FeedLease>, purge_complete_within: Micros) {
         *self.lease.borrow_mut() = Some(lease);
         self.purge_complete_within.set(purge_complete_within);
@@ -274,7 +274,7 @@
         self.ready.borrow().contains(&id)
     }
 
-    /// Records a purge. Purges received longer than `keep` ago are forgotten, because no pending attempt is
+    /// Records a purge. Purges received longer than `retention` ago are forgotten, because no pending attempt is
     /// older.
     pub fn record_purge(&self, now: Micros, what: PurgeTarget, retention: Micros) {
         self.purge_count.set(self.purge_count.get() + 1);
--- a/silverspindle/tests/common/orders.rs
+++ b/silverspindle/tests/common/orders.rs
@@ -135,10 +135,15 @@
     Write(usize),
     /// The attempt with this index ends.
     End(usize, Ending),
+    /// The client no longer waits for the answer.
     Forget,
+    /// The client's connection ends.
     Disconnect,
+    /// The front asks for the final answer at once, because the connection has to end.
     GiveUp,
+    /// The member of the first attempt is listed as draining.
     Drain,
+    /// The member of the first attempt is listed as gone.
     Remove,
     /// The member of the first attempt is listed again, in another cell.
     Relist,
@@ -146,10 +151,15 @@
     PurgeGroup,
     /// A purge that is received only after the caches have dropped older copies themselves.
     LatePurge,
+    /// The feed's lease runs out.
     LeaseExpired,
+    /// The memory limit of the own copies falls to 0.
     CopyEvicted,
-    CopyAged,
+    /// Time passes until the own copy is past its fresh and stale time.
+    CopyExpired,
+    /// Time passes until the window in which the request may be repeated is over.
     WindowExpired,
+    /// Time passes until the director's next timer.
     NextTimer,
 }
 
@@ -174,6 +184,7 @@
     }
 }
 
+/// A client that records the answers it gets.
 #[derive(Debug, Default)]
 struct Client {
     id: u64,
@@ -194,6 +205,7 @@
     }
 }
 
+/// A feed whose lease has run out if this is set.
 #[derive(Debug, Default)]
 struct Feed(Cell<bool>);
 
@@ -251,7 +263,7 @@
         director.set_counters(counters.clone());
         let mailboxes = Mailboxes::default();
         let peer_mailboxes = mailboxes.clone();
-        director.start_peers_by(move |id, _| {
+        director.set_peer_starter(move |id, _| {
             let (sender, mailbox) = async_channel::bounded(256);
             peer_mailboxes.borrow_mut().insert(id, mailbox);
             sender
@@ -377,7 +389,7 @@
                 steps.push(Step::CopyEvicted);
             }
             if self.case.own_copy && self.now() < self.received_at + COPY_TIME_LEFT {
-                steps.push(Step::CopyAged);
+                steps.push(Step::CopyExpired);
             }
             if self.now() < self.received_at + WINDOW {
                 steps.push(Step::WindowExpired);
@@ -418,7 +430,7 @@
             Step::LatePurge => self.purge(PurgeTarget::Object(OBJECT), COPY_AGE + 500 * MS),
             Step::LeaseExpired => self.feed.0.set(true),
             Step::CopyEvicted => self.director.handle_message(Message::CopyMemory(0)),
-            Step::CopyAged => self.advance_to(self.received_at + COPY_TIME_LEFT + MS),
+            Step::CopyExpired => self.advance_to(self.received_at + COPY_TIME_LEFT + MS),
             Step::WindowExpired => self.advance_to(self.received_at + WINDOW + WINDOW_TOLERANCE + MS),
             Step::NextTimer => {
                 let next = self.director.next_timer().unwrap_or(self.now());
