--- a/conf/src/keys.rs
+++ b/conf/src/keys.rs
@@ -72,12 +72,12 @@
 
 impl Key {
     /// Sets the default, which serves as the example too.
-    const fn or(self, default: &'static str) -> Key {
+    const fn with_default(self, default: &'static str) -> Key {
         Key { default: Some(default), example: default, ..self }
     }
 
     /// Sets the example.
-    const fn like(self, example: &'static str) -> Key {
+    const fn with_example(self, example: &'static str) -> Key {
         Key { example, ..self }
     }
 }
@@ -91,13 +91,13 @@
             Key {
                 restart: true,
                 ..key("exchange-listen", Kind::Address, "Address on which this router gives its knowledge to others.")
-                    .like("127.0.0.1:7465")
+                    .with_example("127.0.0.1:7465")
             },
             key("exchange-authority", Kind::Path, "Certificate of the authority that signs the certificates of all routers of an office.")
-                .like("/etc/silverspindle/authority.pem"),
-            key("exchange-certificate", Kind::Path, "Certificate of this router.").like("/etc/silverspindle/n1.pem"),
+                .with_example("/etc/silverspindle/authority.pem"),
+            key("exchange-certificate", Kind::Path, "Certificate of this router.").with_example("/etc/silverspindle/n1.pem"),
             key("exchange-key", Kind::Path, "Private key of that certificate; must be readable by the router only.")
-                .like("/etc/silverspindle/n1.key"),
+                .with_example("/etc/silverspindle/n1.key"),
             Key {
                 repeats: true,
                 ..key(
@@ -105,14 +105,14 @@
                     Kind::Peer,
                     "A router to ask after a start: the name in its certificate, and its address. One per line.",
                 )
-                .like("n2 127.0.0.2:7465")
+                .with_example("n2 127.0.0.2:7465")
             },
-            key("donors-at-once", Kind::Count(1, 8), "Largest number of donors asked at a time.").or("2"),
-            key("ask-for", Kind::Duration(SECOND, HOUR), "Time after its start during which a router asks donors.").or("30s"),
+            key("donors-at-once", Kind::Count(1, 8), "Largest number of donors asked at a time.").with_default("2"),
+            key("ask-for", Kind::Duration(SECOND, HOUR), "Time after its start during which a router asks donors.").with_default("30s"),
             key("give-rate", Kind::Size(1000, 1 << 30), "Bytes per second that a donor gives to all newcomers together.")
-                .or("4MB"),
+                .with_default("4MB"),
             key("give-newcomers", Kind::Count(1, 64), "Largest number of newcomers that a donor serves at a time; it tells others when to come back.")
-                .or("2"),
+                .with_default("2"),
         ],
     ),
     (
@@ -122,10 +122,10 @@
             Key {
                 restart: true,
                 ..key("snapshot-directory", Kind::Path, "Directory of the snapshots.")
-                    .like("/var/lib/silverspindle")
+                    .with_example("/var/lib/silverspindle")
             },
-            key("snapshot-every", Kind::Duration(SECOND / 10, HOUR), "Time between two snapshots.").or("5s"),
-            key("snapshot-size", Kind::Size(10_000, 1 << 30), "Largest snapshot that is written or read.").or("8MB"),
+            key("snapshot-every", Kind::Duration(SECOND / 10, HOUR), "Time between two snapshots.").with_default("5s"),
+            key("snapshot-size", Kind::Size(10_000, 1 << 30), "Largest snapshot that is written or read.").with_default("8MB"),
         ],
     ),
     (
@@ -140,12 +140,12 @@
                     Kind::Peer,
                     "A router that votes: the name in its certificate, and its exchange-listen. There must be 1, 3 or 5.",
                 )
-                .like("n1 127.0.0.1:7465")
+                .with_example("n1 127.0.0.1:7465")
             },
             Key {
                 restart: true,
                 ..key("agree-directory", Kind::Path, "Directory in which an elector keeps its term, vote and log, on a disk that outlives the router.")
-                    .like("/var/lib/silverspindle")
+                    .with_example("/var/lib/silverspindle")
             },
             Key {
                 restart: true,
@@ -154,22 +154,22 @@
                     Kind::Duration(SECOND / 2, HOUR / 60),
                     "Longest time for which a router acts on a decision that has been replaced; the same at every router.",
                 )
-                .or("2s")
+                .with_default("2s")
             },
             Key {
                 repeats: true,
                 restart: true,
-                ..key("agree-operator", Kind::Name, "Name of a certificate that may make any proposal.").like("staff")
+                ..key("agree-operator", Kind::Name, "Name of a certificate that may make any proposal.").with_example("staff")
             },
             Key {
                 restart: true,
                 ..key("agree-callers", Kind::Count(1, 8192), "Largest number of connections of followers and operators at an elector.")
-                    .or("128")
+                    .with_default("128")
             },
             Key {
                 restart: true,
                 ..key("agree-records", Kind::Path, "File in which the router records what it acted on, one JSON line each, for a later check.")
-                    .like("/var/log/silverspindle/acts.json")
+                    .with_example("/var/log/silverspindle/acts.json")
             },
         ],
     ),
@@ -180,12 +180,12 @@
             Key {
                 restart: true,
                 ..key("work-out", Kind::Count(1, 64), "Largest number of machines of a place that may be out at a time.")
-                    .like("2")
+                    .with_example("2")
             },
             Key {
                 restart: true,
                 ..key("work-headroom", Kind::Count(0, 400), "Capacity that a place keeps beyond its load, in per cent of the load.")
-                    .or("25")
+                    .with_default("25")
             },
             Key {
                 restart: true,
@@ -194,7 +194,7 @@
                     Kind::Choice(&["stop", "hold"]),
                     "What a router does if its confirmation has expired: accept no new requests, or keep serving and hold up all work.",
                 )
-                .or("stop")
+                .with_default("stop")
             },
         ],
     ),
@@ -204,7 +204,7 @@
         &[
             Key {
                 restart: true,
-                ..key("agree-rules", Kind::Choice(&["on", "off"]), "Whether this router applies them.").or("off")
+                ..key("agree-rules", Kind::Choice(&["on", "off"]), "Whether this router applies them.").with_default("off")
             },
             Key {
                 restart: true,
@@ -213,7 +213,7 @@
                     Kind::Count(0, 10_000_000),
                     "Smallest limit of fills at the head office that this router can work with; it holds up a version with a lower one.",
                 )
-                .or("0")
+                .with_default("0")
             },
         ],
     ),
@@ -228,7 +228,7 @@
                     Kind::Choice(&["source", "relay", "router"]),
                     "A source follows the coordinator, a relay has a parent and passes the log on, a router only has a parent.",
                 )
-                .like("relay")
+                .with_example("relay")
             },
             Key {
                 repeats: true,
@@ -238,7 +238,7 @@
                     Kind::Peer,
                     "A source or relay to take the log from: the name in its certificate, and its exchange-listen; in order of preference.",
                 )
-                .like("r1 127.0.0.1:7465")
+                .with_example("r1 127.0.0.1:7465")
             },
             Key {
                 repeats: true,
@@ -248,7 +248,7 @@
                     Kind::Peer,
                     "For staff: the sources that 'fleet purge status' queries. All must be listed, as each knows only its own tree.",
                 )
-                .like("s1 127.0.0.1:7465")
+                .with_example("s1 127.0.0.1:7465")
             },
             Key {
                 restart: true,
@@ -257,7 +257,7 @@
                     Kind::Duration(5 * SECOND / 2, HOUR / 60),
                     "The lease: a router without news for this long serves no copy that is older; the same at every router.",
                 )
-                .or("5s")
+                .with_default("5s")
             },
             Key {
                 restart: true,
@@ -266,12 +266,12 @@
                     Kind::Duration(2 * SECOND, HOUR / 60),
                     "The lease of a router that reaches no parent and follows the coordinator; must be shorter than relay-within.",
                 )
-                .or("3s")
+                .with_default("3s")
             },
             Key {
                 restart: true,
                 ..key("relay-batch", Kind::Duration(SECOND / 20, 2 * SECOND), "Shortest time between two batches of records that are passed on.")
-                    .or("500ms")
+                    .with_default("500ms")
             },
             Key {
                 restart: true,
@@ -280,7 +280,7 @@
                     Kind::Duration(SECOND / 10, HOUR / 240),
                     "Time between two reports to a parent of what is applied; at most a quarter of relay-within.",
                 )
-                .or("1s")
+                .with_default("1s")
             },
             Key {
                 restart: true,
@@ -289,7 +289,7 @@
                     Kind::Count(1, 8192),
                     "Largest number of connections to a source or relay, one descriptor each; a router accepts none. 700 is enough for 5,600 routers over eight of ten machines.",
                 )
-                .or("700")
+                .with_default("700")
             },
             Key {
                 restart: true,
@@ -298,22 +298,22 @@
                     Kind::Count(1000, 1 << 20),
                     "Number of records kept for children that reconnect; a child that misses older ones gets the resulting state. 65,536 are ten minutes at 110 per second.",
                 )
-                .or("65536")
+                .with_default("65536")
             },
             Key {
                 restart: true,
                 ..key("relay-records-file", Kind::Path, "File in which the router records what it applied and acted on, one JSON line each, for a later check.")
-                    .like("/var/log/silverspindle/relay.json")
+                    .with_example("/var/log/silverspindle/relay.json")
             },
         ],
     ),
     (
         "Half-lives of the knowledge from other routers: after this time it has half its weight.",
         &[
-            key("half-life-health", Kind::Duration(SECOND / 10, HOUR), "Faults, stalls and members set aside.").or("5s"),
-            key("half-life-pace", Kind::Duration(SECOND / 10, HOUR), "Limits of attempts in flight to a member.").or("10s"),
-            key("half-life-rates", Kind::Duration(SECOND / 10, HOUR), "Sending time per second that warm members take.").or("60s"),
-            key("half-life-filter", Kind::Duration(SECOND / 10, HOUR), "Objects that were requested lately.").or("60s"),
+            key("half-life-health", Kind::Duration(SECOND / 10, HOUR), "Faults, stalls and members set aside.").with_default("5s"),
+            key("half-life-pace", Kind::Duration(SECOND / 10, HOUR), "Limits of attempts in flight to a member.").with_default("10s"),
+            key("half-life-rates", Kind::Duration(SECOND / 10, HOUR), "Sending time per second that warm members take.").with_default("60s"),
+            key("half-life-filter", Kind::Duration(SECOND / 10, HOUR), "Objects that were requested lately.").with_default("60s"),
         ],
     ),
 ];
@@ -372,10 +372,10 @@
 
 /// Parses the words behind a directive's name.
 fn parse_value(kind: Kind, words: &[String]) -> Result<Value, String> {
-    let one = |what: &str| match words {
+    let single_word = |expected: &str| match words {
         [word] if !word.is_empty() => Ok(word.as_str()),
-        [] => Err(format!("lacks {what}")),
-        _ => Err(format!("takes {what} and nothing else")),
+        [] => Err(format!("lacks {expected}")),
+        _ => Err(format!("takes {expected} and nothing else")),
     };
     let address = |text: &str| {
         text.parse().map_err(|_| format!("{text:?} is not an address and port, as in 127.0.0.1:7465"))
@@ -385,40 +385,40 @@
         false => Err(format!("must be between {} and {}", show(low), show(high))),
     };
     match kind {
-        Kind::Address => address(one("an address and a port")?).map(Value::Address),
-        Kind::Path => one("a path").map(|p| Value::Path(p.into())),
+        Kind::Address => address(single_word("an address and a port")?).map(Value::Address),
+        Kind::Path => single_word("a path").map(|p| Value::Path(p.into())),
         Kind::Duration(low, high) => {
-            let text = one("a duration")?;
+            let text = single_word("a duration")?;
             let time = humantime::parse_duration(text)
                 .map_err(|_| format!("{text:?} is not a duration, as in 200ms or 5s"))?;
             in_range(u64::try_from(time.as_micros()).unwrap_or(u64::MAX), low, high, format_duration)
         }
         Kind::Size(low, high) => {
-            let text = one("a size")?;
+            let text = single_word("a size")?;
             let size: bytesize::ByteSize =
                 text.parse().map_err(|_| format!("{text:?} is not a size, as in 64MB or 512KiB"))?;
             in_range(size.as_u64(), low, high, format_size)
         }
         Kind::Count(low, high) => {
-            let text = one("a whole number")?;
+            let text = single_word("a whole number")?;
             let n = text.parse().map_err(|_| format!("{text:?} is not a whole number"))?;
             in_range(n, low, high, |n| n.to_string())
         }
         Kind::Choice(words) => {
-            let word = one("a word")?;
+            let word = single_word("a word")?;
             match words.contains(&word) {
                 true => Ok(Value::Name(word.to_owned())),
                 false => Err(format!("{word:?} is not one of {}", words.join(", "))),
             }
         }
         Kind::Name => {
-            let name = one("a name")?;
+            let name = single_word("a name")?;
             check_name(name).map(|()| Value::Name(name.to_owned()))
         }
         Kind::Peer => match words {
-            [name, at] => {
+            [name, peer_address] => {
                 check_name(name)?;
-                Ok(Value::Peer(name.clone(), address(at)?))
+                Ok(Value::Peer(name.clone(), address(peer_address)?))
             }
             _ => Err("takes a name, then an address and a port".to_owned()),
         },
--- a/silverspindle/src/trials.rs
+++ b/silverspindle/src/trials.rs
@@ -9,7 +9,7 @@
 
 /// Microseconds in a millisecond.
 const MS: u64 = 1000;
-/// Default lease of the agreement (its stated time), in milliseconds.
+/// Default lease of the agreement, in milliseconds.
 const AGREE_LEASE_MS: u64 = 2000;
 /// Default lease of the purge log, in milliseconds.
 const PURGES_LEASE_MS: u64 = 3000;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,8 +3,10 @@
 //! The library does no I/O (sans-IO): pass [`Event`]s to [`Director::handle`] and carry out the [`Action`]s
 //! it appends. The same seed, settings and events always give the same actions.
 //!
-//! Admission to the caches is LRU-AC with ageing sets: a fill is stored at the edge cache only if this
-//! director has seen a request for its object recently, and otherwise passed through. See `docs/design.md`.
+//! Admission to the caches is LRU-AC with ageing sets: a fill is stored at the edge cache if this
+//! director has seen a request for its object recently. Otherwise it is passed through or, where several
+//! directors share a location, stored at the lowest rank with about the probability that another of them has
+//! seen the object. See `docs/design.md`.
 //!
 //! ```
 //! use bitternhold::*;
