--- a/silverspindle/tests/crossing_clients.rs
+++ b/silverspindle/tests/crossing_clients.rs
@@ -217,8 +217,8 @@
     });
 }
 
-/// The exit waits for connections in the accept queue whose request is in the kernel's buffer: a request counts as taken
-/// as soon as the machine has accepted its connection.
+/// The exit waits for connections in the accept queue whose request is in the kernel's buffer: a request counts as accepted
+/// as soon as the kernel has established its connection.
 #[test]
 fn the_exit_waits_for_connections_in_the_accept_queue() {
     run(async |tasks| {
@@ -231,7 +231,7 @@
         client.write_all(&serve(1, &page(RID), b"")).unwrap();
         front.stop_accepting();
         assert!(!front.is_finished(), "finished with a connection in the accept queue");
-        // Within the time after SIGTERM in which all requests are taken.
+        // Within the time after SIGTERM in which all requests are accepted.
         drain.borrow_mut().end(clock::now());
         let (handle, seq, _) = harness.request().await;
         assert!(!front.is_finished());
@@ -376,7 +376,7 @@
 }
 
 /// A client sends a flood of requests and leaves: nothing is sent to caches for a client that has left, whether its
-/// requests were taken or refused.
+/// requests were accepted or refused.
 #[test]
 fn a_flood_of_a_client_that_left_costs_the_caches_nothing() {
     run(async |tasks| {
