--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -202,7 +202,7 @@
 /// The default of a directive of the operators' file, durations in seconds.
 fn default_of(text: &str, directive: &str) -> Option<f64> {
     let (_, behind) = text.split_once(&format!("\"{directive}\""))?;
-    let (_, default) = behind.split_once(".or(\"")?;
+    let (_, default) = behind.split_once(".with_default(\"")?;
     let (default, _) = default.split_once('"')?;
     match (default.strip_suffix("ms"), default.strip_suffix('s')) {
         (Some(ms), _) => Some(ms.parse::<f64>().ok()? / 1e3),
